--- a/control/controller/beats.go
+++ b/control/controller/beats.go
@@ -67,7 +67,7 @@
 		case taken.Changed && len(c.term.commands) < commandsWaiting:
 			c.queue(command{kind: takeBeat, heartbeat: beat})
 		case taken.Fresh:
-			c.stepFailover(failover.Heard{
+			c.stepFailover(failover.Heartbeat{
 				InstanceID: beat.InstanceID,
 				Service:    beat.TargetService,
 				Primary:    beat.DBRole == registry.Primary,
--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -191,7 +191,7 @@
 	if !taken.Fresh {
 		return
 	}
-	c.stepFailover(failover.Heard{
+	c.stepFailover(failover.Heartbeat{
 		InstanceID: beat.InstanceID,
 		Service:    beat.TargetService,
 		Primary:    beat.DBRole == registry.Primary,
@@ -277,7 +277,7 @@
 		return // this controller leads no more
 	}
 	if command.kind == changeFailover {
-		c.stepFailover(failover.Changed{Request: command.change.Request})
+		c.stepFailover(failover.ChangeDecided{Request: command.change.Request})
 		return
 	}
 	c.unavailable(command.call)
@@ -293,7 +293,7 @@
 	case instanceLeaves:
 		c.reply(Reply{Call: command.call, Status: http.StatusOK})
 	case changeFailover:
-		c.stepFailover(failover.Changed{Request: command.change.Request, Committed: true})
+		c.stepFailover(failover.ChangeDecided{Request: command.change.Request, Committed: true})
 	case giveUpCopies:
 		c.reply(giveUpReply(command))
 	case doubtInstances:
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -171,7 +171,7 @@
 	epoch := c.node.Epoch()
 	failoverSettings := c.settings.Failover
 	failoverSettings.Fence = uint64(epoch)
-	failoverSettings.Lacking = c.settings.Lacking
+	failoverSettings.DisabledGuards = c.settings.Lacking
 	c.term = &term{
 		epoch:     epoch,
 		reader:    state.NewServiceReader(),
--- a/control/controller/giveup.go
+++ b/control/controller/giveup.go
@@ -33,7 +33,7 @@
 // decideGiveUp gives up what lost copies held, unless one of them is there or may still return.
 func (c *Controller) decideGiveUp(transaction *state.Transaction, command *command) {
 	service := command.giveUp.Service
-	missing := c.term.failover.Missing(service)
+	missing := c.term.failover.BlockingInstances(service)
 	command.refusal = c.whyKept(service, missing)
 	if command.refusal != "" {
 		return
--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -14,7 +14,7 @@
 	before := c.term.services
 	c.term.services = c.term.reader.Services(c.node)
 	c.noteInstances(before, c.term.services)
-	c.stepFailover(failover.World{Services: c.withDepartures(c.term.services)})
+	c.stepFailover(failover.CommittedState{Services: c.withDepartures(c.term.services)})
 }
 
 // withDepartures adds what a new term must know of instances that departed under an earlier one.
@@ -48,8 +48,8 @@
 	for _, event := range effects.Events {
 		c.event(event.What, event.Text)
 	}
-	if effects.Alive != "" {
-		c.term.registry.Heard(c.now, effects.Alive)
+	if effects.AliveInstanceID != "" {
+		c.term.registry.Heard(c.now, effects.AliveInstanceID)
 	}
 	for _, change := range effects.Changes {
 		c.queue(command{kind: changeFailover, change: change})
@@ -77,7 +77,7 @@
 		return
 	}
 	in.Result.Number = number
-	c.stepFailover(failover.Probed{Result: in.Result})
+	c.stepFailover(failover.ProbeEnded{Result: in.Result})
 }
 
 func (c *Controller) takePlatformCall(in PlatformCalled) {
@@ -89,7 +89,7 @@
 		return // the intent is on the disks: this term finds out what became of it
 	}
 	in.Result.Number = number
-	c.stepFailover(failover.Called{Result: in.Result})
+	c.stepFailover(failover.CallEnded{Result: in.Result})
 }
 
 // reportCleared tells the failover of each freeze that no gateway works by an older table any more.
@@ -104,6 +104,6 @@
 		}
 		frozen.told = true
 		c.term.freezes[name] = frozen
-		c.stepFailover(failover.Cleared{Service: name, Freeze: frozen.number})
+		c.stepFailover(failover.FreezeCleared{Service: name, Freeze: frozen.number})
 	}
 }
--- a/control/controller/watches.go
+++ b/control/controller/watches.go
@@ -27,7 +27,7 @@
 	}
 	c.term.grants.ask(in.Request)
 	for _, report := range in.Request.Reports {
-		c.stepFailover(failover.Reported{Gateway: in.Request.Gateway, Report: report})
+		c.stepFailover(failover.GatewayReport{Gateway: in.Request.Gateway, Report: report})
 	}
 	if in.Request.Leaving {
 		c.effects.WatchReplies = append(c.effects.WatchReplies, WatchReply{Call: in.Call})
@@ -103,7 +103,7 @@
 		Primary: c.self,
 		Members: c.term.table.members,
 		Lease:   c.settings.Lease,
-		Drains:  c.term.failover.Drains(c.now),
+		Drains:  c.term.failover.DrainLimits(c.now),
 	}
 	if watch.request.Applied.Less(c.term.table.version) {
 		answer.Table = c.term.table.forGateway(watch.request)
--- a/control/failover/api.go
+++ b/control/failover/api.go
@@ -128,8 +128,8 @@
 	// Departed are those that have left or were lost, and may hold acknowledged commits that no position is known to cover. Only the
 	// first view that a manager is given needs them: afterwards it sees them go.
 	Departed []feed.Instance
-	// GivenUp counts how often an operator has given up what lost copies held: what was known of departed instances before counts no more.
-	GivenUp uint64
+	// GiveUpCount counts how often an operator has given up what lost copies held: what was known of departed instances before counts no more.
+	GiveUpCount uint64
 	// Floor is the furthest position that covers instances that have departed: whoever has not reached it lacks what they may hold.
 	Floor Position
 }
@@ -163,71 +163,71 @@
 type (
 	// Tick lets time pass.
 	Tick struct{}
-	// World replaces what the manager knows of the committed control state.
-	World struct{ Services []ServiceView }
-	// Heard is a heartbeat: the instance is alive and says what it is.
-	Heard struct {
+	// CommittedState replaces what the manager knows of the committed control state.
+	CommittedState struct{ Services []ServiceView }
+	// Heartbeat is a heartbeat: the instance is alive and says what it is.
+	Heartbeat struct {
 		InstanceID string
 		Service    string
 		Primary    bool
 	}
-	// Reported is what a gateway met at an instance.
-	Reported struct {
+	// GatewayReport is what a gateway met at an instance.
+	GatewayReport struct {
 		Gateway string
 		Report  feed.InstanceReport
 	}
-	// Cleared: since the freeze with this number, every gateway has applied it or has let its lease run out.
-	Cleared struct {
+	// FreezeCleared: since the freeze with this number, every gateway has applied it or has let its lease run out.
+	FreezeCleared struct {
 		Service string
 		Freeze  uint64
 	}
-	// Probed ends a probe.
-	Probed struct{ Result ProbeResult }
-	// Called ends a platform call.
-	Called struct{ Result PlatformResult }
-	// Changed tells that a change is committed (or not: the manager asks again if it still wants it).
-	Changed struct {
+	// ProbeEnded ends a probe.
+	ProbeEnded struct{ Result ProbeResult }
+	// CallEnded ends a platform call.
+	CallEnded struct{ Result PlatformResult }
+	// ChangeDecided tells that a change is committed (or not: the manager asks again if it still wants it).
+	ChangeDecided struct {
 		Request   uint64
 		Committed bool
 	}
 )
 
-func (Tick) input()     {}
-func (World) input()    {}
-func (Heard) input()    {}
-func (Reported) input() {}
-func (Cleared) input()  {}
-func (Probed) input()   {}
-func (Called) input()   {}
-func (Changed) input()  {}
+func (Tick) input()           {}
+func (CommittedState) input() {}
+func (Heartbeat) input()      {}
+func (GatewayReport) input()  {}
+func (FreezeCleared) input()  {}
+func (ProbeEnded) input()     {}
+func (CallEnded) input()      {}
+func (ChangeDecided) input()  {}
 
 // Event is a change worth a line in the log.
 type Event struct{ What, Text string }
 
 // Effects is what the host must do.
 type Effects struct {
-	Probes  []Probe
-	Calls   []PlatformCall
-	Changes []Change
-	Events  []Event
-	Alive   string // the instance that has answered a probe: it is no lost one, though its heartbeats may not come; "": none
+	Probes          []Probe
+	Calls           []PlatformCall
+	Changes         []Change
+	Events          []Event
+	AliveInstanceID string // the instance that has answered a probe: it is no lost one, though its heartbeats may not come; "": none
 }
 
 // Settings of a manager. A new one is made each time a controller becomes primary.
 type Settings struct {
-	Holder       string
-	Fence        uint64 // the epoch of the view: it rises with each holder and is on disk before it is used
-	FenceChecked bool   // the platform refuses lower fences
-	CallsPerS    float64
-	LeaderProbe  time.Duration // between probes of a leader nothing speaks against
-	FastProbe    time.Duration // between probes in the fast window
-	FastWindow   time.Duration // how long the fast window lasts after the last sign of change
-	SuspectAfter time.Duration // silence of the leader, with probes failing, before the service is frozen
-	ReplicaLost  time.Duration // silence after which a replica is taken for gone, if the leader has outlived it
-	DrainLimit   time.Duration // how long statements may reach an instance after its drain was acknowledged
-	DrainMargin  time.Duration // how long before that none is begun any more: the way there takes time
-	Lacking      guard.Set     // guards that a test takes out
-	LateCall     time.Duration // how long a call of an earlier holder may still be on its way where fences aren't checked
+	Holder         string
+	Fence          uint64 // the epoch of the view: it rises with each holder and is on disk before it is used
+	FenceChecked   bool   // the platform refuses lower fences
+	CallsPerSecond float64
+	LeaderProbe    time.Duration // between probes of a leader nothing speaks against
+	FastProbe      time.Duration // between probes in the fast window
+	FastWindow     time.Duration // how long the fast window lasts after the last sign of change
+	SuspectAfter   time.Duration // silence of the leader, with probes failing, before the service is frozen
+	ReplicaLost    time.Duration // silence after which a replica is taken for gone, if the leader has outlived it
+	DrainLimit     time.Duration // how long statements may reach an instance after its drain was acknowledged
+	DrainMargin    time.Duration // how long before that none is begun any more: the way there takes time
+	DisabledGuards guard.Set     // guards that a test takes out
+	MaxCallDelay   time.Duration // how long a call of an earlier holder may still be on its way where fences aren't checked
 }
 
 // In manager.go:
@@ -235,4 +235,4 @@
 //	func New(now time.Duration, settings Settings) *Manager
 //	func (m *Manager) Step(now time.Duration, input Input) Effects
 //	func (m *Manager) Frozen(service string) (freeze uint64, frozen bool)   freeze: number of the freeze, rising
-//	func (m *Manager) Drains(now time.Duration) []feed.DrainLimit           of all instances that drain
+//	func (m *Manager) DrainLimits(now time.Duration) []feed.DrainLimit           of all instances that drain
--- a/control/failover/call.go
+++ b/control/failover/call.go
@@ -54,7 +54,7 @@
 		s.call.watchFor, s.call.next = s.watchOfEarlier(now), now+notSentRetry
 	default:
 		s.doubt = true
-		s.call.unknownUntil, s.call.ownUnknown = now+s.settings().LateCall, true
+		s.call.unknownUntil, s.call.ownUnknown = now+s.settings().MaxCallDelay, true
 		s.call.watchFor, s.call.next = repeatWait, now+declinedRetry
 	}
 }
--- a/control/failover/host_test.go
+++ b/control/failover/host_test.go
@@ -36,7 +36,7 @@
 	w.epoch++
 	settings := DefaultSettings()
 	settings.Holder, settings.Fence = fmt.Sprintf("c%d", w.epoch), w.epoch
-	settings.FenceChecked, settings.CallsPerS = w.options.fenceChecked, 10
+	settings.FenceChecked, settings.CallsPerSecond = w.options.fenceChecked, 10
 	h := &host{
 		world: w, name: settings.Holder, manager: New(w.now, settings), active: true,
 		granted: map[string]time.Duration{}, applied: map[string]map[string]uint64{}, told: map[string]uint64{},
@@ -61,7 +61,7 @@
 		}
 		views = append(views, view)
 	}
-	h.step(World{Services: views})
+	h.step(CommittedState{Services: views})
 }
 
 func (h *host) tick() {
@@ -96,7 +96,7 @@
 	w := h.world
 	w.after(w.between(5*time.Millisecond, 30*time.Millisecond), func() {
 		if !h.active || h.stopped {
-			h.step(Changed{Request: change.Request})
+			h.step(ChangeDecided{Request: change.Request})
 			return
 		}
 		switch {
@@ -120,7 +120,7 @@
 			return
 		}
 		h.tellWorld()
-		h.step(Changed{Request: change.Request, Committed: true})
+		h.step(ChangeDecided{Request: change.Request, Committed: true})
 	})
 }
 
@@ -128,7 +128,7 @@
 	w := h.world
 	started := w.now
 	end := func(answer ProbeAnswer, status Status) {
-		h.step(Probed{Result: ProbeResult{Number: probe.Number, Answer: answer, Status: status, Started: started}})
+		h.step(ProbeEnded{Result: ProbeResult{Number: probe.Number, Answer: answer, Status: status, Started: started}})
 	}
 	way := w.between(time.Millisecond, 6*time.Millisecond)
 	w.after(way, func() {
@@ -174,7 +174,7 @@
 		}
 		if all {
 			h.told[service] = freeze
-			h.step(Cleared{Service: service, Freeze: freeze})
+			h.step(FreezeCleared{Service: service, Freeze: freeze})
 		}
 	}
 }
@@ -243,7 +243,7 @@
 		}
 		for _, id := range w.names {
 			if report := g.reports[id]; report != nil && *report != (feed.InstanceReport{InstanceID: id}) {
-				h.step(Reported{Gateway: g.name, Report: *report})
+				h.step(GatewayReport{Gateway: g.name, Report: *report})
 				delete(g.reports, id)
 			}
 		}
--- a/control/failover/manager.go
+++ b/control/failover/manager.go
@@ -3,9 +3,9 @@
 //
 // What it rests on, beside the rules written at each decision:
 //   - With syncReplicas an acknowledged commit is in the logs of two instances at least: of the primary and of one replica.
-//   - After Cleared for a freeze no gateway passes on the success of a write that it sent before the freeze was lifted.
+//   - After FreezeCleared for a freeze no gateway passes on the success of a write that it sent before the freeze was lifted.
 //   - An intent is on the disks of all copies before its call is made, so a later holder knows of each call under way.
-//   - A call that was sent acts within Settings.LateCall, or never.
+//   - A call that was sent acts within Settings.MaxCallDelay, or never.
 //   - A pause lasts until CONTINUE, a promote or a restart, and a restart takes longer than a commit waits for a replica.
 //   - STEPDOWN makes a replica that receives like any other: only the pause after it makes it keep still.
 //   - In a planned hand-over the leader is not told to step down first, unless a replica is silent: all replicas are paused, so it
@@ -74,19 +74,19 @@
 func (m *Manager) Step(now time.Duration, input Input) Effects {
 	m.effects = Effects{}
 	switch in := input.(type) {
-	case World:
+	case CommittedState:
 		m.world(now, in)
-	case Heard:
+	case Heartbeat:
 		m.heard(now, in)
-	case Reported:
+	case GatewayReport:
 		m.reported(now, in)
-	case Cleared:
+	case FreezeCleared:
 		m.cleared(now, in)
-	case Probed:
+	case ProbeEnded:
 		m.probed(now, in.Result)
-	case Called:
+	case CallEnded:
 		m.called(now, in.Result)
-	case Changed:
+	case ChangeDecided:
 		m.changed(now, in)
 	}
 	if _, tick := input.(Tick); tick {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Drains tells of all instances that drain how long statements may yet be begun there.
-func (m *Manager) Drains(now time.Duration) []feed.DrainLimit {
+// DrainLimits tells of all instances that drain how long statements may yet be begun there.
+func (m *Manager) DrainLimits(now time.Duration) []feed.DrainLimit {
 	var drains []feed.DrainLimit
 	for _, name := range m.order {
 		for _, known := range m.services[name].present() {
@@ -127,9 +127,9 @@
 	return drains
 }
 
-// Missing gives the instances whose copies stand against every choice of a new leader of a service that waits for one; none if it
+// BlockingInstances gives the instances whose copies stand against every choice of a new leader of a service that waits for one; none if it
 // doesn't wait.
-func (m *Manager) Missing(service string) []string {
+func (m *Manager) BlockingInstances(service string) []string {
 	s, found := m.services[service]
 	if !found || !s.frozen || s.phase != pausing {
 		return nil
@@ -149,7 +149,7 @@
 	return s.freeze, true
 }
 
-func (m *Manager) world(now time.Duration, world World) {
+func (m *Manager) world(now time.Duration, world CommittedState) {
 	m.order = lo.Map(world.Services, func(view ServiceView, _ int) string { return view.Name })
 	slices.Sort(m.order)
 	for name := range m.services {
@@ -171,14 +171,14 @@
 	}
 }
 
-func (m *Manager) heard(now time.Duration, beat Heard) {
+func (m *Manager) heard(now time.Duration, beat Heartbeat) {
 	if s, found := m.services[beat.Service]; found {
 		s.heard(now, beat)
 		s.advance(now)
 	}
 }
 
-func (m *Manager) reported(now time.Duration, in Reported) {
+func (m *Manager) reported(now time.Duration, in GatewayReport) {
 	for _, name := range m.order {
 		s := m.services[name]
 		if s.member(in.Report.InstanceID) != nil {
@@ -189,7 +189,7 @@
 	}
 }
 
-func (m *Manager) cleared(now time.Duration, in Cleared) {
+func (m *Manager) cleared(now time.Duration, in FreezeCleared) {
 	s, found := m.services[in.Service]
 	if !found || !s.frozen || s.freeze != in.Freeze || s.cleared {
 		return
@@ -209,7 +209,7 @@
 		return
 	}
 	if result.Answer == Answered || result.Answer == Busy {
-		m.effects.Alive = probe.member.instance.ID
+		m.effects.AliveInstanceID = probe.member.instance.ID
 	}
 	probe.service.probed(now, probe, result)
 	probe.service.advance(now)
@@ -233,7 +233,7 @@
 	}
 }
 
-func (m *Manager) changed(now time.Duration, in Changed) {
+func (m *Manager) changed(now time.Duration, in ChangeDecided) {
 	for _, name := range m.order {
 		if s := m.services[name]; s.request.number != 0 && s.request.number == in.Request {
 			s.changed(now, in.Committed)
@@ -254,9 +254,9 @@
 
 // mayCall keeps to the pace that the platform bears.
 func (m *Manager) mayCall(now time.Duration) bool {
-	return now >= m.nextCall && m.settings.CallsPerS > 0
+	return now >= m.nextCall && m.settings.CallsPerSecond > 0
 }
 
 func (m *Manager) paceCall(now time.Duration) {
-	m.nextCall = now + time.Duration(float64(time.Second)/m.settings.CallsPerS)
+	m.nextCall = now + time.Duration(float64(time.Second)/m.settings.CallsPerSecond)
 }
--- a/control/failover/manager_test.go
+++ b/control/failover/manager_test.go
@@ -26,7 +26,7 @@
 	settings := DefaultSettings()
 	settings.Holder, settings.Fence = "c1", 5
 	d := &desk{manager: New(0, settings), answers: map[string]Status{}}
-	d.step(World{Services: views})
+	d.step(CommittedState{Services: views})
 	return d
 }
 
@@ -62,7 +62,7 @@
 			if up {
 				result.Answer, result.Status = Answered, status
 			}
-			inputs = append(inputs, Probed{Result: result})
+			inputs = append(inputs, ProbeEnded{Result: result})
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	is := is.New(t)
 	d := newDesk(threeInstances(""))
 	d.answers["a1"], d.answers["a2"], d.answers["a3"] = replicaAt(10), replicaAt(10), replicaAt(10)
-	d.step(Heard{InstanceID: "a2", Service: "a", Primary: true})
+	d.step(Heartbeat{InstanceID: "a2", Service: "a", Primary: true})
 	d.wait(time.Second)
 	is.Equal(len(d.changes), 0) // a heartbeat alone is no evidence
 	status := replicaAt(10)
@@ -106,10 +106,10 @@
 	d := crashed()
 	freeze, frozen := d.manager.Frozen("a")
 	is.True(frozen)
-	d.step(Cleared{Service: "a", Freeze: freeze - 1})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze - 1})
 	d.wait(time.Second)
 	is.Equal(len(d.paused), 0) // nothing is paused for a freeze that isn't cleared
-	d.step(Cleared{Service: "a", Freeze: freeze})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze})
 	is.Equal(len(d.paused), 2)
 	is.True(d.paused[0].Term > 3)
 }
@@ -123,11 +123,11 @@
 	d.answers["a1"], d.answers["a2"], d.answers["a3"] = leading, replicaAt(12), replicaAt(12)
 	d.wait(time.Second)
 	view.Instances[0].Draining = true
-	d.step(World{Services: []ServiceView{view}})
+	d.step(CommittedState{Services: []ServiceView{view}})
 	d.wait(handOverLimit + time.Second) // a lease has to run out
 	freeze, frozen := d.manager.Frozen("a")
 	is.True(frozen)
-	d.step(Cleared{Service: "a", Freeze: freeze})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze})
 	d.wait(time.Second)
 	is.Equal(len(d.changes), 1)
 	is.True(d.changes[0].Intent != nil)
@@ -154,12 +154,12 @@
 	is := is.New(t)
 	d := crashed()
 	freeze, _ := d.manager.Frozen("a")
-	d.step(Cleared{Service: "a", Freeze: freeze})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze})
 	is.Equal(len(d.changes), 1)
 	is.Equal(d.changes[0].Intent.InstanceID, "a3") // the further one
 	d.wait(time.Second)
 	is.Equal(len(d.calls), 0)
-	d.step(Changed{Request: d.changes[0].Request, Committed: true})
+	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
 	is.Equal(len(d.calls), 1)
 	is.Equal(d.calls[0].InstanceID, "a3")
 	is.Equal(d.calls[0].Fence, uint64(5))
@@ -169,9 +169,9 @@
 	is := is.New(t)
 	d := crashed()
 	freeze, _ := d.manager.Frozen("a")
-	d.step(Cleared{Service: "a", Freeze: freeze})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze})
 	d.now += 20 * time.Second // the process stood still
-	d.step(Changed{Request: d.changes[0].Request, Committed: true})
+	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
 	is.Equal(len(d.calls), 0)
 	is.Equal(len(d.changes), 2) // it is asked for again: that shows whether this holder still leads
 }
@@ -183,7 +183,7 @@
 	d.wait(2 * time.Second)
 	freeze, frozen := d.manager.Frozen("a")
 	is.True(frozen)
-	d.step(Cleared{Service: "a", Freeze: freeze})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze})
 	d.wait(time.Second)
 	is.Equal(len(d.changes), 0) // it would do as to its log, but the platform may take it for the primary still
 	d.answers["a2"] = replicaAt(12)
@@ -197,10 +197,10 @@
 	d := crashed()
 	d.answers["a2"] = replicaAt(12)
 	freeze, _ := d.manager.Frozen("a")
-	d.step(Cleared{Service: "a", Freeze: freeze})
-	d.step(Changed{Request: d.changes[0].Request, Committed: true})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze})
+	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
 	called := d.calls[0].InstanceID
-	d.step(Called{Result: PlatformResult{Number: d.calls[0].Number, Outcome: Accepted, Code: 200}})
+	d.step(CallEnded{Result: PlatformResult{Number: d.calls[0].Number, Outcome: Accepted, Code: 200}})
 	d.wait(promoteWait - time.Second)
 	is.Equal(len(d.changes), 1)
 	d.wait(2 * time.Second)
@@ -212,16 +212,16 @@
 	is := is.New(t)
 	d := crashed()
 	freeze, _ := d.manager.Frozen("a")
-	d.step(Cleared{Service: "a", Freeze: freeze})
-	d.step(Changed{Request: d.changes[0].Request, Committed: true})
-	d.step(Called{Result: PlatformResult{Number: d.calls[0].Number, Outcome: OutcomeUnknown}})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze})
+	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
+	d.step(CallEnded{Result: PlatformResult{Number: d.calls[0].Number, Outcome: OutcomeUnknown}})
 	d.wait(3 * time.Second)
 	is.Equal(len(d.changes), 1)
 	d.wait(2 * time.Second)
 	is.Equal(len(d.changes), 2) // the target has long answered that it doesn't lead
 	is.Equal(d.changes[1].Intent.InstanceID, "a3")
 	delete(d.answers, "a3")
-	d.step(Changed{Request: d.changes[1].Request, Committed: false})
+	d.step(ChangeDecided{Request: d.changes[1].Request, Committed: false})
 	d.wait(8 * time.Second)
 	is.Equal(len(d.changes), 2) // the target is gone, but its call may be on its way: no other is chosen
 }
@@ -229,11 +229,11 @@
 func TestCallsKeepToThePace(t *testing.T) {
 	is := is.New(t)
 	d := crashed()
-	d.manager.settings.CallsPerS = 0.5
+	d.manager.settings.CallsPerSecond = 0.5
 	d.manager.paceCall(d.now)
 	freeze, _ := d.manager.Frozen("a")
-	d.step(Cleared{Service: "a", Freeze: freeze})
-	d.step(Changed{Request: d.changes[0].Request, Committed: true})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze})
+	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
 	d.wait(1900 * time.Millisecond)
 	is.Equal(len(d.calls), 0)
 	d.wait(200 * time.Millisecond)
@@ -248,7 +248,7 @@
 	d.answers["a1"], d.answers["a2"], d.answers["a3"] = leading, replicaAt(12), replicaAt(12)
 	beats := func() {
 		for _, id := range []string{"a1", "a2", "a3"} {
-			d.step(Heard{InstanceID: id, Service: "a", Primary: id == "a1"})
+			d.step(Heartbeat{InstanceID: id, Service: "a", Primary: id == "a1"})
 		}
 	}
 	for range 5 {
@@ -292,7 +292,7 @@
 	for range 4 {
 		for _, view := range views {
 			for _, instance := range view.Instances {
-				d.step(Heard{InstanceID: instance.ID, Service: view.Name, Primary: instance.ID == view.Leader.InstanceID})
+				d.step(Heartbeat{InstanceID: instance.ID, Service: view.Name, Primary: instance.ID == view.Leader.InstanceID})
 			}
 		}
 		d.wait(time.Second)
@@ -305,13 +305,13 @@
 	view := ServiceView{Name: "a", Leader: feed.Leader{InstanceID: "a1", Term: 3}}
 	view.Instances = []feed.Instance{{ID: "a1", Service: "a", Address: "a1"}}
 	d = newDesk(view)
-	d.manager.settings.Lacking = lacking
+	d.manager.settings.DisabledGuards = lacking
 	leading := replicaAt(12)
 	leading.Primary = true
 	d.answers["a1"] = leading
 	d.wait(time.Second)
 	view.Instances = []feed.Instance{{ID: "a1", Service: "a", Address: "a1", Draining: true}}
-	d.step(World{Services: []ServiceView{view}})
+	d.step(CommittedState{Services: []ServiceView{view}})
 	for end := d.now + DefaultSettings().DrainLimit; d.now < end; d.now += tickEvery {
 		for _, event := range d.manager.Step(d.now, Tick{}).Events {
 			if event.What == invariant.Broken {
@@ -339,32 +339,32 @@
 	is := is.New(t)
 	view := threeInstances("a1")
 	d := newDesk(view)
-	is.Equal(len(d.manager.Drains(d.now)), 0)
+	is.Equal(len(d.manager.DrainLimits(d.now)), 0)
 	d.now = time.Second
 	view.Instances = append([]feed.Instance(nil), view.Instances...)
 	view.Instances[1].Draining = true
-	d.step(World{Services: []ServiceView{view}})
-	is.Equal(d.manager.Drains(3*time.Second), []feed.DrainLimit{{InstanceID: "a2", Left: 4 * time.Second}}) // of 7 s, 1 s of them kept back
-	is.Equal(d.manager.Drains(time.Minute), []feed.DrainLimit{{InstanceID: "a2"}})
+	d.step(CommittedState{Services: []ServiceView{view}})
+	is.Equal(d.manager.DrainLimits(3*time.Second), []feed.DrainLimit{{InstanceID: "a2", Left: 4 * time.Second}}) // of 7 s, 1 s of them kept back
+	is.Equal(d.manager.DrainLimits(time.Minute), []feed.DrainLimit{{InstanceID: "a2"}})
 
 	late := feed.Instance{ID: "a4", Service: "a", Address: "a4", Draining: true} // it drains when it is met first
 	view.Instances = append(view.Instances, late)
-	d.step(World{Services: []ServiceView{view}})
-	is.Equal(d.manager.Drains(3 * time.Second)[1], feed.DrainLimit{InstanceID: "a4"})
+	d.step(CommittedState{Services: []ServiceView{view}})
+	is.Equal(d.manager.DrainLimits(3 * time.Second)[1], feed.DrainLimit{InstanceID: "a4"})
 	view.Instances = view.Instances[:3]
 
 	next := New(0, DefaultSettings()) // another holder doesn't know since when
-	next.Step(0, World{Services: []ServiceView{view}})
-	is.Equal(next.Drains(0), []feed.DrainLimit{{InstanceID: "a2"}})
+	next.Step(0, CommittedState{Services: []ServiceView{view}})
+	is.Equal(next.DrainLimits(0), []feed.DrainLimit{{InstanceID: "a2"}})
 }
 
 func TestAnsweredProbeIsASignOfLife(t *testing.T) {
 	is := is.New(t)
 	manager := New(0, DefaultSettings())
-	effects := manager.Step(0, World{Services: []ServiceView{threeInstances("a1")}})
+	effects := manager.Step(0, CommittedState{Services: []ServiceView{threeInstances("a1")}})
 	for index, answer := range []ProbeAnswer{Answered, Busy, Refused} {
 		probe := effects.Probes[index]
-		said := manager.Step(time.Millisecond, Probed{Result: ProbeResult{Number: probe.Number, Answer: answer}}).Alive
+		said := manager.Step(time.Millisecond, ProbeEnded{Result: ProbeResult{Number: probe.Number, Answer: answer}}).AliveInstanceID
 		is.Equal(said == probe.InstanceID, answer != Refused)
 	}
 }
@@ -379,7 +379,7 @@
 	d.answers["a4"] = Status{}
 	d.wait(2 * time.Second)
 	freeze, _ := d.manager.Frozen("a")
-	d.step(Cleared{Service: "a", Freeze: freeze})
+	d.step(FreezeCleared{Service: "a", Freeze: freeze})
 	d.wait(2 * time.Second)
 	return d
 }
@@ -408,13 +408,13 @@
 	d.answers["a1"], d.answers["a2"], d.answers["a3"] = leading, replicaAt(12), replicaAt(11)
 	d.wait(time.Second)
 	view.Instances = view.Instances[:2]
-	d.step(World{Services: []ServiceView{view}})
+	d.step(CommittedState{Services: []ServiceView{view}})
 	d.wait(departureMargin)
 	is.Equal(len(d.changes), 0)
 	d.wait(time.Second)
 	is.Equal(len(d.changes), 1)
 	is.Equal(*d.changes[0].Covered, CoveredDeparture{Service: "a", InstanceID: "a3", Position: Position{Term: 3, Number: 12}})
-	d.step(Changed{Request: d.changes[0].Request, Committed: true})
+	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
 	d.wait(time.Second)
 	is.Equal(len(d.changes), 1)
 }
--- a/control/failover/service.go
+++ b/control/failover/service.go
@@ -123,7 +123,7 @@
 	s.fastUntil = s.lookFrom + learnSettle
 	if view.Intent != nil {
 		s.inherited, s.doubt = true, true
-		s.call.unknownUntil = now + manager.settings.LateCall
+		s.call.unknownUntil = now + manager.settings.MaxCallDelay
 		s.call.watchFor, s.call.endedAt = inheritedWait, now
 	}
 	return s
@@ -143,7 +143,7 @@
 	if len(s.members) == 0 {
 		s.members = departedBefore(now, view)
 	}
-	givenUp := view.GivenUp > s.view.GivenUp && s.view.Name != ""
+	givenUp := view.GiveUpCount > s.view.GiveUpCount && s.view.Name != ""
 	s.view = view
 	s.intent = view.Intent
 	for _, instance := range view.Instances {
@@ -304,7 +304,7 @@
 	}
 }
 
-func (s *service) heard(now time.Duration, beat Heard) {
+func (s *service) heard(now time.Duration, beat Heartbeat) {
 	known := s.member(beat.InstanceID)
 	if known == nil || known.departed {
 		return
--- a/control/failover/settings.go
+++ b/control/failover/settings.go
@@ -3,18 +3,18 @@
 import "time"
 
 // DefaultSettings returns settings that suit a service whose promote takes up to about a second. Holder, Fence,
-// FenceChecked and CallsPerS are of the deployment: the caller fills them in.
+// FenceChecked and CallsPerSecond are of the deployment: the caller fills them in.
 func DefaultSettings() Settings {
 	return Settings{
-		CallsPerS:    5,
-		LeaderProbe:  3 * time.Second,
-		FastProbe:    150 * time.Millisecond,
-		FastWindow:   4 * time.Second,
-		SuspectAfter: 1200 * time.Millisecond,
-		ReplicaLost:  10 * time.Second,
-		LateCall:     15 * time.Second,
-		DrainLimit:   7 * time.Second,
-		DrainMargin:  time.Second,
+		CallsPerSecond: 5,
+		LeaderProbe:    3 * time.Second,
+		FastProbe:      150 * time.Millisecond,
+		FastWindow:     4 * time.Second,
+		SuspectAfter:   1200 * time.Millisecond,
+		ReplicaLost:    10 * time.Second,
+		MaxCallDelay:   15 * time.Second,
+		DrainLimit:     7 * time.Second,
+		DrainMargin:    time.Second,
 	}
 }
 
--- a/control/failover/world_test.go
+++ b/control/failover/world_test.go
@@ -335,7 +335,7 @@
 func (d *database) tell() {
 	host := d.world.current
 	if d.up && host != nil && d.world.path(d.id, host.name) {
-		host.step(Heard{InstanceID: d.id, Service: d.service, Primary: d.primary})
+		host.step(Heartbeat{InstanceID: d.id, Service: d.service, Primary: d.primary})
 	}
 }
 
@@ -353,7 +353,9 @@
 	w := p.world
 	sent := w.judge.called(w, call)
 	end := func(delay time.Duration, outcome PlatformOutcome, code int) {
-		w.after(delay, func() { from.step(Called{Result: PlatformResult{Number: call.Number, Outcome: outcome, Code: code}}) })
+		w.after(delay, func() {
+			from.step(CallEnded{Result: PlatformResult{Number: call.Number, Outcome: outcome, Code: code}})
+		})
 	}
 	switch p.trouble {
 	case "down":
--- a/control/state/service.go
+++ b/control/state/service.go
@@ -144,7 +144,7 @@
 	}
 	for _, given := range GiveUps(reader) {
 		if view, found := views[given.Service]; found {
-			view.GivenUp = given.Count
+			view.GiveUpCount = given.Count
 		}
 	}
 	for _, floor := range readAll[floorRecord](reader, floorPrefix) {
--- a/host/platform.go
+++ b/host/platform.go
@@ -25,7 +25,7 @@
 	platformWait = 2500 * time.Millisecond
 	// platformFresh is how old a call may be when it is written, and when its writing ends. A process that stood still
 	// after it dialled must not send a call that it decided on long ago: where fences aren't checked, failovers count on
-	// none being sent so late. It leaves room for the slowest dial, and is a small part of failover.Settings.LateCall.
+	// none being sent so late. It leaves room for the slowest dial, and is a small part of failover.Settings.MaxCallDelay.
 	platformFresh = platformDial + 500*time.Millisecond
 )
 
--- a/host/platform_test.go
+++ b/host/platform_test.go
@@ -149,7 +149,7 @@
 
 // What was written last, and what the kernel still sends of it, is sent long before failovers count on it.
 func TestPlatformCallsEndWithinLateCall(t *testing.T) {
-	is.New(t).True(platformFresh+unsentTimeout < failover.DefaultSettings().LateCall/2)
+	is.New(t).True(platformFresh+unsentTimeout < failover.DefaultSettings().MaxCallDelay/2)
 }
 
 // A process that stood still between the dial and the write wakes with a connection that still takes bytes.
--- a/host/process_test.go
+++ b/host/process_test.go
@@ -50,7 +50,7 @@
 	is.Equal(derived.Replication.Tolerance, 1)
 	is.Equal(derived.Failover.Holder, "core-1")
 	is.True(derived.Failover.FenceChecked)
-	is.Equal(derived.Failover.CallsPerS, 25.0)
+	is.Equal(derived.Failover.CallsPerSecond, 25.0)
 	is.Equal(derived.InstanceLost, 16*time.Second)
 	is.True(derived.WatchWait < derived.Lease)
 }
--- a/host/settings.go
+++ b/host/settings.go
@@ -92,7 +92,7 @@
 	chosen.Holder = settings.Name
 	chosen.FenceChecked = settings.Bounds.FenceChecked
 	if settings.PlatformAPI != nil && settings.PlatformAPI.DutyPerS > 0 {
-		chosen.CallsPerS = settings.PlatformAPI.DutyPerS * dutyShare
+		chosen.CallsPerSecond = settings.PlatformAPI.DutyPerS * dutyShare
 	}
 	if drain := settings.Bounds.Drain(); drain > 0 {
 		chosen.DrainLimit = drain
--- a/simulation/plan.go
+++ b/simulation/plan.go
@@ -98,7 +98,7 @@
 func (p Plan) Settings() controller.Settings {
 	chosen := failover.DefaultSettings()
 	chosen.FenceChecked = p.FenceChecked
-	chosen.CallsPerS = callsPerS
+	chosen.CallsPerSecond = callsPerS
 	return controller.Settings{
 		Replication:  replication.Settings{Timing: replication.DefaultTiming()},
 		Failover:     chosen,
--- a/simulation/settings_test.go
+++ b/simulation/settings_test.go
@@ -19,6 +19,6 @@
 	played := plan.Settings()
 	is.Equal(played.Replication.Timing, hosts.Replication.Timing)
 	hosts.Replication = played.Replication // the rest is of the machine
-	hosts.Failover.CallsPerS = played.Failover.CallsPerS
+	hosts.Failover.CallsPerSecond = played.Failover.CallsPerSecond
 	is.Equal(played, hosts)
 }
