--- a/cmd/eidersystem/demo_world.go
+++ b/cmd/eidersystem/demo_world.go
@@ -107,7 +107,7 @@
 	for number := range demoGateways {
 		settings := w.layout.Gateway(number)
 		w.gateways = append(w.gateways, startProcess(func(ctx context.Context) error {
-			return gateway.Run(ctx, gateway.Boot{Settings: settings, Log: w.log})
+			return gateway.Run(ctx, gateway.Options{Settings: settings, Log: w.log})
 		}))
 	}
 	return nil
--- a/cmd/eidersystem/gateway.go
+++ b/cmd/eidersystem/gateway.go
@@ -7,7 +7,7 @@
 )
 
 func runGateway(ctx context.Context, process process) error {
-	return gateway.Run(ctx, gateway.Boot{
+	return gateway.Run(ctx, gateway.Options{
 		Settings:  process.settings,
 		Reload:    process.changed,
 		Log:       process.log,
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -30,8 +30,8 @@
 	"eiderway/wire"
 )
 
-// Boot is what a gateway needs from its host process.
-type Boot struct {
+// Options is what a gateway needs from its host process.
+type Options struct {
 	Settings  system.Settings
 	Reload    <-chan system.Settings // settings that were read again; may be nil
 	Log       logrus.FieldLogger
@@ -81,13 +81,13 @@
 
 // Run serves until it is asked to terminate and has done so in order, or until the context ends. An error means that it
 // could not start.
-func Run(ctx context.Context, boot Boot) error {
+func Run(ctx context.Context, boot Options) error {
 	asker := &rpc.Client{Routes: boot.Settings.InternalRoutes}
 	defer asker.Close()
 	return run(ctx, boot, asker)
 }
 
-func run(ctx context.Context, boot Boot, asker watcher) error {
+func run(ctx context.Context, boot Options, asker watcher) error {
 	gateway := newGateway(boot, asker)
 	front, readiness, err := listen(ctx, boot.Settings)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func newGateway(boot Boot, asker watcher) *Gateway {
+func newGateway(boot Options, asker watcher) *Gateway {
 	held := newDirectory()
 	held.keys.Lasting = access.LastingFor(boot.Settings.Bounds.Revoke())
 	started := &Gateway{
--- a/gateway/standins_test.go
+++ b/gateway/standins_test.go
@@ -472,7 +472,7 @@
 	asked := asker(started)
 	go func() {
 		defer close(started.ended)
-		boot := Boot{Settings: started.settings, Log: log, Terminate: started.terminate, Publish: started.publishFigures}
+		boot := Options{Settings: started.settings, Log: log, Terminate: started.terminate, Publish: started.publishFigures}
 		if err := run(ctx, boot, asked); err != nil {
 			t.Error(err)
 		}
