--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -49,7 +49,7 @@
 	departuresTold bool                   // the failover has been told who departed under earlier terms
 	grants         *grants
 	table          table
-	bank           *quota.Bank
+	bank           *quota.Allocator
 	commands       []command         // waiting for the next batch
 	batch          *batch            // proposed and not decided yet
 	questions      []question        // need a confirmation that hasn't been asked for yet
--- a/control/controller/operations.go
+++ b/control/controller/operations.go
@@ -38,7 +38,7 @@
 }
 
 // newBank makes the bank of a term that begins now. It opens once what earlier terms have granted to operations that waited is over.
-func (c *Controller) newBank() *quota.Bank {
+func (c *Controller) newBank() *quota.Allocator {
 	opensAt := c.now + operationsFresh + quota.GrantLife + c.settings.LeaseMargin
 	if c.guards.bankOpensAtOnce || c.settings.Lacking.Lacks(guard.BankOpensLate) {
 		opensAt = c.now
@@ -46,7 +46,7 @@
 	if c.settings.Lacking.Lacks(guard.BankStartsEmpty) {
 		opensAt = 0
 	}
-	return quota.NewBank(c.bankNumber(), opensAt, c.settings.Quota)
+	return quota.NewAllocator(c.bankNumber(), opensAt, c.settings.Quota)
 }
 
 func (c *Controller) answerOperations(asked *watch) {
--- a/control/quota/bank.go
+++ b/control/quota/bank.go
@@ -22,8 +22,8 @@
 	numbersPruned = time.Minute
 )
 
-// Bank grants operations of tenants to gateways. There is one at a time; see NewBank.
-type Bank struct {
+// Allocator grants operations of tenants to gateways. There is one at a time; see NewAllocator.
+type Allocator struct {
 	id      uint64
 	rules   Rules
 	opensAt time.Duration
@@ -63,14 +63,14 @@
 	fullFrom time.Duration // if not: from when the bucket is refilled at the full rate
 }
 
-// NewBank makes a bank that knows no tenants, with a number that no other has. It is empty until opensAt: by then no earlier bank has granted
-// anything for GrantLife.
-func NewBank(id uint64, opensAt time.Duration, rules Rules) *Bank {
-	return &Bank{id: id, rules: rules, opensAt: opensAt, buckets: map[string]*bucket{}, lastRequests: map[string]lastRequest{}}
+// NewAllocator makes an allocator that knows no tenants, with a number that no other has. It is empty until opensAt: by then no earlier one
+// has granted anything for GrantLife.
+func NewAllocator(id uint64, opensAt time.Duration, rules Rules) *Allocator {
+	return &Allocator{id: id, rules: rules, opensAt: opensAt, buckets: map[string]*bucket{}, lastRequests: map[string]lastRequest{}}
 }
 
 // SetLimits replaces the limits of all tenants. What is left of a tenant's operations stays, as far as its new limit allows.
-func (b *Bank) SetLimits(now time.Duration, limits []Limit) {
+func (b *Allocator) SetLimits(now time.Duration, limits []Limit) {
 	next := make(map[string]*bucket, len(limits))
 	for _, limit := range limits {
 		kept := b.buckets[limit.Tenant]
@@ -115,7 +115,7 @@
 }
 
 // Answer grants as many of the wanted operations as there are.
-func (b *Bank) Answer(now time.Duration, request Request) Answer {
+func (b *Allocator) Answer(now time.Duration, request Request) Answer {
 	b.counts.Requests++
 	answer := Answer{Number: request.Number}
 	if now >= b.opensAt {
@@ -136,7 +136,7 @@
 }
 
 // isOvertaken tells whether a newer request of the same gateway came before this one, or the same.
-func (b *Bank) isOvertaken(now time.Duration, request Request) bool {
+func (b *Allocator) isOvertaken(now time.Duration, request Request) bool {
 	if request.Gateway == "" {
 		return false
 	}
@@ -151,7 +151,7 @@
 	return false
 }
 
-func (b *Bank) grant(now time.Duration, request Request, want Want) Grant {
+func (b *Allocator) grant(now time.Duration, request Request, want Want) Grant {
 	known := b.buckets[want.Tenant]
 	if known == nil {
 		return Grant{Tenant: want.Tenant, RetryAfter: unknownRetry}
@@ -177,4 +177,4 @@
 }
 
 // Counts tells what the bank has done.
-func (b *Bank) Counts() Counts { return b.counts }
+func (b *Allocator) Counts() Counts { return b.counts }
--- a/control/quota/doc.go
+++ b/control/quota/doc.go
@@ -1,6 +1,6 @@
 // Package quota keeps the operations of tenants within their limits, summed over all gateways.
 //
-// The primary controller has a Bank: for each tenant with a limit a token bucket, one token an operation. A gateway has a Purse with
+// The primary controller has an Allocator: for each tenant with a limit a token bucket, one token an operation. A gateway has a Budget with
 // the operations that the bank has granted it, and takes one out before the first statement of an operation leaves. There are two kinds:
 //
 //   - Operations that wait are granted for a short life (GrantLife). What was granted and not begun by then is lost. Nothing is remembered
@@ -36,7 +36,7 @@
 // # Why a later bank may follow
 //
 // A deposed primary grants nothing later than a short time after the promises that deposed it. The next bank opens GrantLife after that
-// (NewBank), with empty buckets. So short grants of two banks are those of one bucket that was at times fuller than it was known to be.
+// (NewAllocator), with empty buckets. So short grants of two banks are those of one bucket that was at times fuller than it was known to be.
 //
 // Reserves of earlier banks are still held then. They are over a reserveLife after the bank has opened. Until then all of S counts as lent
 // to gateways that aren't known (unheard). Once a gateway has had an answer of the open bank, its next request tells what it held when no
--- a/control/quota/measure_test.go
+++ b/control/quota/measure_test.go
@@ -108,7 +108,7 @@
 
 type modelGateway struct {
 	name    string
-	purse   *Purse
+	purse   *Budget
 	waiting []*waitingOperation
 }
 
@@ -119,7 +119,7 @@
 	agenda   modelAgenda
 	order    int
 	names    []string
-	bank     *Bank
+	bank     *Allocator
 	gateways []*modelGateway
 	one      bucket // the hot tenant's, as one counter for all
 	sent     []int
@@ -129,7 +129,7 @@
 
 func (f fleet) play() outcomeOfFleet {
 	p := &playedFleet{fleet: f, random: rand.New(rand.NewPCG(modelSeed, 1)), sent: make([]int, f.tenants), refused: make([]int, f.tenants)}
-	p.bank = NewBank(1, 0, usualRules)
+	p.bank = NewAllocator(1, 0, usualRules)
 	sum := 0.0
 	for rank := 1; rank <= f.tenants; rank++ {
 		sum += 1 / float64(rank)
@@ -151,8 +151,8 @@
 		p.one = bucket{terms: terms{rate: limit.RatePerS, capacity: max(1, limit.Burst)}, level: limit.Burst}
 	}
 	for index := range f.gateways {
-		purse := NewPurse()
-		purse.SetLimited(p.names)
+		purse := NewBudget()
+		purse.SetLimitedTenants(p.names)
 		made := &modelGateway{name: fmt.Sprint(index), purse: purse}
 		p.gateways = append(p.gateways, made)
 		p.planRenewal(made)
@@ -213,15 +213,15 @@
 	p.countBeyond(tenant)
 	name := p.names[tenant]
 	verdict := at.purse.Take(p.now, name)
-	if verdict == Short {
+	if verdict == NeedsGrant {
 		one := &waitingOperation{tenant: tenant, since: p.now}
-		at.purse.Wait(name)
+		at.purse.AddWaiter(name)
 		at.waiting = append(at.waiting, one)
 		p.after(modelWait, func() { p.end(at, one, false) })
 	} else {
 		p.count(tenant, verdict == Taken, 0)
 	}
-	if at.purse.Hungry(p.now, name) {
+	if at.purse.ShouldRequest(p.now, name) {
 		p.ask(at)
 	}
 }
@@ -245,7 +245,7 @@
 		return
 	}
 	one.ended = true
-	at.purse.Waited(p.names[one.tenant])
+	at.purse.RemoveWaiter(p.names[one.tenant])
 	p.count(one.tenant, served, p.now-one.since)
 }
 
@@ -263,7 +263,7 @@
 }
 
 func (p *playedFleet) ask(at *modelGateway) {
-	request, due := at.purse.Next(p.now)
+	request, due := at.purse.NextRequest(p.now)
 	if !due {
 		return
 	}
@@ -289,7 +289,7 @@
 }
 
 func (p *playedFleet) answered(at *modelGateway, answer Answer) {
-	at.purse.Granted(p.now, answer)
+	at.purse.ApplyAnswer(p.now, answer)
 	if p.counts() {
 		for _, grant := range answer.Grants {
 			p.outcome.granted += grant.Operations + grant.Reserved
@@ -301,7 +301,7 @@
 		if one.ended {
 			continue
 		}
-		switch at.purse.TakeAgain(p.now, p.names[one.tenant]) {
+		switch at.purse.RetryTake(p.now, p.names[one.tenant]) {
 		case Taken:
 			p.end(at, one, true)
 		case Refused:
@@ -352,7 +352,7 @@
 
 // benchmarkBank has as many tenants as given.
 func benchmarkBank(b *testing.B, tenants int) {
-	bank, names := NewBank(1, 0, usualRules), make([]string, tenants)
+	bank, names := NewAllocator(1, 0, usualRules), make([]string, tenants)
 	var limits []Limit
 	for index := range tenants {
 		names[index] = fmt.Sprintf("t%d", index)
@@ -370,11 +370,11 @@
 func BenchmarkBankAnswerOfManyTenants(b *testing.B) { benchmarkBank(b, 7200) }
 
 func benchmarkPurse(b *testing.B, tenants int) {
-	purse, names := NewPurse(), make([]string, tenants)
+	purse, names := NewBudget(), make([]string, tenants)
 	for index := range tenants {
 		names[index] = fmt.Sprintf("t%d", index)
 	}
-	purse.SetLimited(names)
+	purse.SetLimitedTenants(names)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for index := range b.N {
@@ -383,11 +383,11 @@
 		if purse.Take(now, name) == Taken {
 			continue
 		}
-		purse.Wait(name)
-		request, _ := purse.Next(now)
-		purse.Granted(now, Answer{Number: request.Number, Grants: []Grant{{Tenant: name, Operations: 1, Life: time.Second}}})
-		purse.TakeAgain(now, name)
-		purse.Waited(name)
+		purse.AddWaiter(name)
+		request, _ := purse.NextRequest(now)
+		purse.ApplyAnswer(now, Answer{Number: request.Number, Grants: []Grant{{Tenant: name, Operations: 1, Life: time.Second}}})
+		purse.RetryTake(now, name)
+		purse.RemoveWaiter(name)
 	}
 }
 
--- a/control/quota/purse.go
+++ b/control/quota/purse.go
@@ -24,20 +24,20 @@
 	mostWanted = 1000
 )
 
-// Verdict says whether an operation may begin.
-type Verdict int
+// TakeResult says whether an operation may begin.
+type TakeResult int
 
 const (
 	// Taken: it may begin now.
-	Taken Verdict = iota
-	// Short: there is nothing in the purse; the bank may have something.
-	Short
+	Taken TakeResult = iota
+	// NeedsGrant: there is nothing in the purse; the bank may have something.
+	NeedsGrant
 	// Refused: the tenant has used its limit up, as far as was heard a moment ago.
 	Refused
 )
 
-// Purse holds the operations that a gateway may begin. It is not safe for use by several goroutines.
-type Purse struct {
+// Budget holds the operations that a gateway may begin. It is not safe for use by several goroutines.
+type Budget struct {
 	accounts map[string]*account // of tenants with a limit
 	asking   bool                // a request is under way
 	number   uint64              // of the last request
@@ -64,11 +64,11 @@
 	until      time.Duration
 }
 
-// NewPurse makes a purse that knows no tenants: none has a limit.
-func NewPurse() *Purse { return &Purse{accounts: map[string]*account{}} }
+// NewBudget makes a budget that knows no tenants: none has a limit.
+func NewBudget() *Budget { return &Budget{accounts: map[string]*account{}} }
 
-// SetLimited replaces the set of tenants that have a limit.
-func (p *Purse) SetLimited(tenants []string) {
+// SetLimitedTenants replaces the set of tenants that have a limit.
+func (p *Budget) SetLimitedTenants(tenants []string) {
 	next := make(map[string]*account, len(tenants))
 	for _, tenant := range tenants {
 		next[tenant] = p.accounts[tenant]
@@ -80,7 +80,7 @@
 }
 
 // Take takes one operation out for a new attempt.
-func (p *Purse) Take(now time.Duration, tenant string) Verdict {
+func (p *Budget) Take(now time.Duration, tenant string) TakeResult {
 	known := p.accounts[tenant]
 	if known == nil {
 		return Taken
@@ -89,8 +89,8 @@
 	return known.take(now)
 }
 
-// TakeAgain takes one operation out for an attempt that was told Short before.
-func (p *Purse) TakeAgain(now time.Duration, tenant string) Verdict {
+// RetryTake takes one operation out for an attempt that was told NeedsGrant before.
+func (p *Budget) RetryTake(now time.Duration, tenant string) TakeResult {
 	known := p.accounts[tenant]
 	if known == nil {
 		return Taken
@@ -98,7 +98,7 @@
 	return known.take(now)
 }
 
-func (a *account) take(now time.Duration) Verdict {
+func (a *account) take(now time.Duration) TakeResult {
 	a.dropEnded(now)
 	if len(a.lots) > 0 {
 		a.lots[0].operations--
@@ -114,7 +114,7 @@
 	if now < a.refusedTo {
 		return Refused
 	}
-	return Short
+	return NeedsGrant
 }
 
 func (a *account) dropEnded(now time.Duration) {
@@ -139,28 +139,29 @@
 	return a.demand * math.Exp(-(now-a.countedAt).Seconds()/demandMemory.Seconds())
 }
 
-// Wait notes that an operation waits for a grant, and Waited that it does no more.
-func (p *Purse) Wait(tenant string) {
+// AddWaiter notes that an operation waits for a grant, and RemoveWaiter that it no longer does.
+func (p *Budget) AddWaiter(tenant string) {
 	if known := p.accounts[tenant]; known != nil {
 		known.waiting++
 	}
 }
 
-// Waited ends a Wait.
-func (p *Purse) Waited(tenant string) {
+// RemoveWaiter undoes one AddWaiter.
+func (p *Budget) RemoveWaiter(tenant string) {
 	if known := p.accounts[tenant]; known != nil {
 		known.waiting = max(0, known.waiting-1)
 	}
 }
 
-// Hungry tells whether there is a reason to ask the bank for operations of a tenant, and no request under way.
-func (p *Purse) Hungry(now time.Duration, tenant string) bool {
+// ShouldRequest tells whether there is a reason to ask the bank for operations of a tenant, and no request under way.
+func (p *Budget) ShouldRequest(now time.Duration, tenant string) bool {
 	known := p.accounts[tenant]
 	return known != nil && !p.asking && known.isDue(now)
 }
 
-// Next gives the request that is due, sorted by tenant; false: none is, or one is under way. It must be followed by Granted or Failed.
-func (p *Purse) Next(now time.Duration) (Request, bool) {
+// NextRequest gives the request that is due, sorted by tenant; false: none is, or one is under way. It must be followed by ApplyAnswer or
+// RequestFailed.
+func (p *Budget) NextRequest(now time.Duration) (Request, bool) {
 	if p.asking {
 		return Request{}, false
 	}
@@ -233,8 +234,9 @@
 	return min(mostWanted, max(0, a.waiting-ready))
 }
 
-// Granted books the answer to the request that is under way. Any other one, such as one that comes twice or after Failed, changes nothing.
-func (p *Purse) Granted(now time.Duration, answer Answer) {
+// ApplyAnswer books the answer to the request that is under way. Any other one, such as one that comes twice or after RequestFailed, changes
+// nothing.
+func (p *Budget) ApplyAnswer(now time.Duration, answer Answer) {
 	if !p.asking || answer.Number != p.number {
 		return
 	}
@@ -263,5 +265,5 @@
 	}
 }
 
-// Failed notes that the request got no answer: what it may have been granted is lost.
-func (p *Purse) Failed() { p.asking = false }
+// RequestFailed notes that the request got no answer: what it may have been granted is lost.
+func (p *Budget) RequestFailed() { p.asking = false }
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -65,7 +65,7 @@
 			RatePerS: float64(rapid.IntRange(1, 60).Draw(t, "rate")),
 			Burst:    float64(rapid.IntRange(0, 60).Draw(t, "burst")),
 		}
-		bank := NewBank(1, 0, usualRules)
+		bank := NewAllocator(1, 0, usualRules)
 		bank.SetLimits(0, []Limit{limit})
 		banks, processes := uint64(1), 3
 		gateways := make([]*testGateway, 3)
@@ -82,7 +82,7 @@
 			case 0: // another bank follows
 				banks++
 				later := rapid.SampledFrom([]time.Duration{0, 100 * time.Millisecond}).Draw(t, "opens")
-				bank = NewBank(banks, now+GrantLife+later, usualRules)
+				bank = NewAllocator(banks, now+GrantLife+later, usualRules)
 				bank.SetLimits(now, []Limit{limit})
 			case 1:
 				processes++
@@ -100,27 +100,27 @@
 
 // testGateway is a gateway's process.
 type testGateway struct {
-	purse *Purse
+	purse *Budget
 	name  string
 }
 
-func newLimitedPurse() *Purse {
-	purse := NewPurse()
-	purse.SetLimited([]string{"bakers"})
+func newLimitedPurse() *Budget {
+	purse := NewBudget()
+	purse.SetLimitedTenants([]string{"bakers"})
 	return purse
 }
 
 // takeMany lets operations arrive at a gateway, which asks the bank for what it lacks.
-func takeMany(t *rapid.T, gateway *testGateway, bank *Bank, now time.Duration) begun {
+func takeMany(t *rapid.T, gateway *testGateway, bank *Allocator, now time.Duration) begun {
 	purse := gateway.purse
 	var taken begun
 	for range rapid.IntRange(1, 30).Draw(t, "operations") {
 		verdict := purse.Take(now, "bakers")
-		if verdict == Short {
-			purse.Wait("bakers")
+		if verdict == NeedsGrant {
+			purse.AddWaiter("bakers")
 			askBank(t, gateway, bank, now)
-			verdict = purse.TakeAgain(now, "bakers")
-			purse.Waited("bakers")
+			verdict = purse.RetryTake(now, "bakers")
+			purse.RemoveWaiter("bakers")
 		}
 		if verdict == Taken {
 			taken = append(taken, now)
@@ -131,25 +131,25 @@
 }
 
 // askBank asks. The question may have been sent a while ago, and its answer may be lost.
-func askBank(t *rapid.T, gateway *testGateway, bank *Bank, now time.Duration) {
+func askBank(t *rapid.T, gateway *testGateway, bank *Allocator, now time.Duration) {
 	purse := gateway.purse
 	way := time.Duration(rapid.IntRange(0, 300).Draw(t, "way")) * time.Millisecond
-	request, due := purse.Next(max(0, now-way))
+	request, due := purse.NextRequest(max(0, now-way))
 	if !due {
 		return
 	}
 	request.Gateway = gateway.name
 	answer := bank.Answer(now, request)
 	if rapid.IntRange(0, 5).Draw(t, "lost") == 0 {
-		purse.Failed()
+		purse.RequestFailed()
 		return
 	}
-	purse.Granted(now, answer)
+	purse.ApplyAnswer(now, answer)
 }
 
 func TestBankFillsFromWhenItOpens(t *testing.T) {
 	is := is.New(t)
-	bank := NewBank(1, 2*time.Second, usualRules)
+	bank := NewAllocator(1, 2*time.Second, usualRules)
 	bank.SetLimits(0, []Limit{{Tenant: "bakers", RatePerS: 10, Burst: 10}})
 	want := Request{Wants: []Want{{Tenant: "bakers", Operations: 5}, {Tenant: "nobody", Operations: 1}}}
 	is.Equal(bank.Answer(time.Second, want).Grants[0].Operations, 0)
@@ -165,39 +165,39 @@
 	is := is.New(t)
 	purse := newLimitedPurse()
 	is.Equal(purse.Take(0, "others"), Taken) // without a limit
-	is.Equal(purse.Take(0, "bakers"), Short)
-	purse.Wait("bakers")
-	request, due := purse.Next(0)
+	is.Equal(purse.Take(0, "bakers"), NeedsGrant)
+	purse.AddWaiter("bakers")
+	request, due := purse.NextRequest(0)
 	is.True(due)
 	is.Equal(request, Request{Number: 1, Wants: []Want{{Tenant: "bakers", Operations: 1, Reserve: 2}}})
-	_, due = purse.Next(0)
+	_, due = purse.NextRequest(0)
 	is.True(!due) // one at a time
 	answer := Answer{Number: 1, Grants: []Grant{{Tenant: "bakers", Operations: 3, Life: time.Second}}}
-	purse.Granted(200*time.Millisecond, answer)
-	purse.Granted(200*time.Millisecond, answer) // comes twice
-	is.Equal(purse.TakeAgain(200*time.Millisecond, "bakers"), Taken)
-	purse.Waited("bakers")
+	purse.ApplyAnswer(200*time.Millisecond, answer)
+	purse.ApplyAnswer(200*time.Millisecond, answer) // comes twice
+	is.Equal(purse.RetryTake(200*time.Millisecond, "bakers"), Taken)
+	purse.RemoveWaiter("bakers")
 	is.Equal(purse.Take(time.Second-1, "bakers"), Taken)
-	is.Equal(purse.Take(time.Second, "bakers"), Short)
-	request, due = purse.Next(time.Second) // nobody waits, but a reserve is wanted
+	is.Equal(purse.Take(time.Second, "bakers"), NeedsGrant)
+	request, due = purse.NextRequest(time.Second) // nobody waits, but a reserve is wanted
 	is.True(due)
 	is.Equal(request.Wants[0].Operations, 0)
-	purse.Failed()
-	purse.Wait("bakers")
-	_, due = purse.Next(1100 * time.Millisecond)
+	purse.RequestFailed()
+	purse.AddWaiter("bakers")
+	_, due = purse.NextRequest(1100 * time.Millisecond)
 	is.True(due)
-	purse.Granted(1200*time.Millisecond, Answer{Number: 2, Grants: []Grant{{Tenant: "bakers", Operations: 3, Life: time.Second}}}) // too late
-	is.Equal(purse.TakeAgain(1200*time.Millisecond, "bakers"), Short)
-	purse.Granted(1200*time.Millisecond, Answer{Number: 3, Grants: []Grant{{Tenant: "bakers", RetryAfter: 300 * time.Millisecond}}})
-	is.Equal(purse.TakeAgain(1200*time.Millisecond, "bakers"), Refused)
-	is.Equal(purse.TakeAgain(1500*time.Millisecond, "bakers"), Short)
+	purse.ApplyAnswer(1200*time.Millisecond, Answer{Number: 2, Grants: []Grant{{Tenant: "bakers", Operations: 3, Life: time.Second}}}) // too late
+	is.Equal(purse.RetryTake(1200*time.Millisecond, "bakers"), NeedsGrant)
+	purse.ApplyAnswer(1200*time.Millisecond, Answer{Number: 3, Grants: []Grant{{Tenant: "bakers", RetryAfter: 300 * time.Millisecond}}})
+	is.Equal(purse.RetryTake(1200*time.Millisecond, "bakers"), Refused)
+	is.Equal(purse.RetryTake(1500*time.Millisecond, "bakers"), NeedsGrant)
 }
 
 // QUOTA, refused below the limit: limits as large as numbers go were read as no operations at all.
 func TestLimitsAsLargeAsNumbersGo(t *testing.T) {
 	is := is.New(t)
 	for _, figure := range []float64{1e9, 1e19, 1e300, math.MaxFloat64} {
-		bank := NewBank(1, 0, usualRules)
+		bank := NewAllocator(1, 0, usualRules)
 		bank.SetLimits(0, []Limit{{Tenant: "bakers", RatePerS: figure, Burst: figure}, {Tenant: "smiths", Burst: figure}})
 		answer := bank.Answer(time.Hour, Request{Wants: []Want{{Tenant: "bakers", Operations: 7}, {Tenant: "smiths", Operations: -7}}})
 		is.Equal(answer.Grants[0].Operations, 7) // by figure
@@ -211,7 +211,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		before := Limit{Tenant: "bakers", RatePerS: float64(rapid.IntRange(20, 200).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 200).Draw(t, "burst"))}
 		after := Limit{Tenant: "bakers", RatePerS: float64(rapid.IntRange(1, 20).Draw(t, "lower rate")), Burst: float64(rapid.IntRange(0, 20).Draw(t, "lower burst"))}
-		bank, gateway := NewBank(1, 0, usualRules), &testGateway{purse: newLimitedPurse(), name: "a"}
+		bank, gateway := NewAllocator(1, 0, usualRules), &testGateway{purse: newLimitedPurse(), name: "a"}
 		bank.SetLimits(0, []Limit{before})
 		loweredAt := time.Duration(rapid.IntRange(0, 6000).Draw(t, "lowered")) * time.Millisecond
 		isLowered := false
--- a/control/quota/reserve.go
+++ b/control/quota/reserve.go
@@ -71,7 +71,7 @@
 //
 // A gateway that hasn't had an answer of this bank yet may have sent its request while an earlier bank could still grant to others what this
 // gateway has used since. So what it holds stays as it is, and is counted only with its next request.
-func (b *Bank) reserve(now time.Duration, request Request, want Want, from *bucket, grant *Grant) {
+func (b *Allocator) reserve(now time.Duration, request Request, want Want, from *bucket, grant *Grant) {
 	grant.Keep = want.Held
 	if request.Gateway == "" || request.Bank != b.id {
 		return
--- a/control/quota/reserve_history_test.go
+++ b/control/quota/reserve_history_test.go
@@ -17,7 +17,7 @@
 	*rapid.T
 	now      time.Duration
 	limit    Limit
-	bank     *Bank
+	bank     *Allocator
 	banks    uint64
 	gateways []*testGateway
 	started  int
@@ -53,7 +53,7 @@
 func (h *history) follow() {
 	h.banks++
 	later := time.Duration(rapid.IntRange(0, 500).Draw(h.T, "opens")) * time.Millisecond
-	h.bank = NewBank(h.banks, h.now+GrantLife+later, usualRules)
+	h.bank = NewAllocator(h.banks, h.now+GrantLife+later, usualRules)
 	h.bank.SetLimits(h.now, []Limit{h.limit})
 }
 
@@ -113,11 +113,11 @@
 
 func (h *history) operate(gateway *testGateway) {
 	verdict := gateway.purse.Take(h.now, "bakers")
-	if verdict == Short {
-		gateway.purse.Wait("bakers")
+	if verdict == NeedsGrant {
+		gateway.purse.AddWaiter("bakers")
 		h.ask(gateway)
-		verdict = gateway.purse.TakeAgain(h.now, "bakers")
-		gateway.purse.Waited("bakers")
+		verdict = gateway.purse.RetryTake(h.now, "bakers")
+		gateway.purse.RemoveWaiter("bakers")
 	}
 	if verdict == Taken {
 		h.taken = append(h.taken, h.now)
@@ -126,17 +126,17 @@
 
 // ask asks the bank. One answer in ten is lost.
 func (h *history) ask(gateway *testGateway) {
-	request, due := gateway.purse.Next(h.now)
+	request, due := gateway.purse.NextRequest(h.now)
 	if !due {
 		return
 	}
 	request.Gateway = gateway.name
 	answer := h.bank.Answer(h.now, request)
 	if rapid.IntRange(0, 9).Draw(h.T, "lost") == 0 {
-		gateway.purse.Failed()
+		gateway.purse.RequestFailed()
 		return
 	}
-	gateway.purse.Granted(h.now, answer)
+	gateway.purse.ApplyAnswer(h.now, answer)
 }
 
 func (h *history) check(limit Limit, from time.Duration) {
@@ -176,9 +176,9 @@
 	limit := Limit{Tenant: "bakers", RatePerS: 30, Burst: 30}
 	asked, refused := 0, 0
 	for seed := range 20 {
-		bank := NewBank(1, 0, usualRules)
+		bank := NewAllocator(1, 0, usualRules)
 		bank.SetLimits(0, []Limit{limit})
-		gateways := make([]*Purse, 5)
+		gateways := make([]*Budget, 5)
 		for index := range gateways {
 			gateways[index] = newLimitedPurse()
 		}
@@ -186,28 +186,28 @@
 		opensAt := lostAt + 2*time.Second
 		for now := time.Duration(0); now < 20*time.Second; now += historyStep {
 			if now >= opensAt && bank.id == 1 {
-				bank = NewBank(2, opensAt, usualRules)
+				bank = NewAllocator(2, opensAt, usualRules)
 				bank.SetLimits(opensAt, []Limit{limit})
 			}
 			isLost := now >= lostAt && now < opensAt
 			for index, purse := range gateways {
 				ask := func() {
-					request, due := purse.Next(now)
+					request, due := purse.NextRequest(now)
 					request.Gateway = strconv.Itoa(index)
 					switch {
 					case due && isLost:
-						purse.Failed()
+						purse.RequestFailed()
 					case due:
-						purse.Granted(now, bank.Answer(now, request))
+						purse.ApplyAnswer(now, bank.Answer(now, request))
 					}
 				}
 				if (int(now/historyStep)+index)%5 == 0 { // two a second at each gateway, a third of the limit
 					verdict := purse.Take(now, "bakers")
-					if verdict == Short {
-						purse.Wait("bakers")
+					if verdict == NeedsGrant {
+						purse.AddWaiter("bakers")
 						ask()
-						verdict = purse.TakeAgain(now, "bakers")
-						purse.Waited("bakers")
+						verdict = purse.RetryTake(now, "bakers")
+						purse.RemoveWaiter("bakers")
 					}
 					if now > 5*time.Second {
 						asked++
--- a/control/quota/reserve_search_test.go
+++ b/control/quota/reserve_search_test.go
@@ -66,7 +66,7 @@
 // reserveGateway is a gateway's process, and its messages.
 type reserveGateway struct {
 	name     string
-	purse    Purse
+	purse    Budget
 	account  account
 	requests []Request // on their way
 	answer   *Answer   // to the last one, on its way
@@ -76,12 +76,12 @@
 type reserveMoment struct {
 	tick     int
 	gateways [2]reserveGateway
-	banks    []*Bank // by term
-	reserve  int     // that the limit allows
-	deposed  int     // the tick in which the second term began; 0: it hasn't
-	most     int     // before it was lowered
-	lowered  int     // the tick in which it was lowered
-	excess   int     // the most, over all windows that end now, by which more was begun than was lent in the window; counted if nothing else happens
+	banks    []*Allocator // by term
+	reserve  int          // that the limit allows
+	deposed  int          // the tick in which the second term began; 0: it hasn't
+	most     int          // before it was lowered
+	lowered  int          // the tick in which it was lowered
+	excess   int          // the most, over all windows that end now, by which more was begun than was lent in the window; counted if nothing else happens
 	left     happens
 	lacks    without
 }
@@ -92,8 +92,8 @@
 	return terms{capacity: fullBucket, reserve: m.reserve, life: GrantLife}
 }
 
-func (m *reserveMoment) newBank(id uint64, opensAt time.Duration) *Bank {
-	bank := NewBank(id, opensAt, Rules{})
+func (m *reserveMoment) newBank(id uint64, opensAt time.Duration) *Allocator {
+	bank := NewAllocator(id, opensAt, Rules{})
 	bank.pruneAt = time.Hour
 	bank.buckets["t"] = &bucket{terms: m.terms(), reserves: newReserves(opensAt, m.reserve, true)}
 	bank.buckets["t"].reserves.unheardUntil -= reserveMargin
@@ -102,22 +102,22 @@
 
 func newReserveMoment(most int, left happens, lacks without) *reserveMoment {
 	m := &reserveMoment{most: most, reserve: most, left: left, lacks: lacks}
-	m.banks = []*Bank{m.newBank(1, 0)}
+	m.banks = []*Allocator{m.newBank(1, 0)}
 	m.banks[0].buckets["t"].reserves.unheard = 0 // as after a long rest
 	for index := range m.gateways {
-		m.gateways[index] = reserveGateway{name: string(rune('a' + index)), purse: Purse{bank: 1}}
+		m.gateways[index] = reserveGateway{name: string(rune('a' + index)), purse: Budget{bank: 1}}
 	}
 	return m
 }
 
 // own gives a bank that may be changed, which moments share otherwise.
-func (m *reserveMoment) own(term int) *Bank {
+func (m *reserveMoment) own(term int) *Allocator {
 	m.banks = slices.Clone(m.banks)
 	m.banks[term] = copiedBank(m.banks[term])
 	return m.banks[term]
 }
 
-func copiedBank(bank *Bank) *Bank {
+func copiedBank(bank *Allocator) *Allocator {
 	own, kept, lent := *bank, *bank.buckets["t"], *bank.buckets["t"].reserves
 	lent.byGateway = maps.Clone(lent.byGateway)
 	kept.reserves = &lent
@@ -369,7 +369,7 @@
 	answer := *one.answer
 	held := one.account
 	one.purse.accounts = map[string]*account{"t": &held}
-	one.purse.Granted(m.now(), answer)
+	one.purse.ApplyAnswer(m.now(), answer)
 	one.purse.accounts = nil
 	if m.lacks != reserveTwice {
 		one.answer = nil
--- a/control/quota/reserve_test.go
+++ b/control/quota/reserve_test.go
@@ -10,13 +10,13 @@
 // reserveWorld is a bank with one tenant, and gateways that ask it.
 type reserveWorld struct {
 	*testing.T
-	bank     *Bank
+	bank     *Allocator
 	now      time.Duration
-	gateways map[string]*Purse
+	gateways map[string]*Budget
 }
 
 func newReserveWorld(t *testing.T, limit Limit) *reserveWorld {
-	w := &reserveWorld{T: t, gateways: map[string]*Purse{}}
+	w := &reserveWorld{T: t, gateways: map[string]*Budget{}}
 	w.follow(1, limit)
 	w.now = reserveLife + reserveMargin // nothing is left of earlier banks
 	return w
@@ -24,11 +24,11 @@
 
 // follow has a bank take over that opens now.
 func (w *reserveWorld) follow(id uint64, limit Limit) {
-	w.bank = NewBank(id, w.now, usualRules)
+	w.bank = NewAllocator(id, w.now, usualRules)
 	w.bank.SetLimits(w.now, []Limit{limit})
 }
 
-func (w *reserveWorld) purse(name string) *Purse {
+func (w *reserveWorld) purse(name string) *Budget {
 	if w.gateways[name] == nil {
 		w.gateways[name] = newLimitedPurse()
 	}
@@ -37,12 +37,12 @@
 
 // ask has a gateway ask, if it has a reason to.
 func (w *reserveWorld) ask(name string) {
-	request, due := w.purse(name).Next(w.now)
+	request, due := w.purse(name).NextRequest(w.now)
 	if !due {
 		return
 	}
 	request.Gateway = name
-	w.purse(name).Granted(w.now, w.bank.Answer(w.now, request))
+	w.purse(name).ApplyAnswer(w.now, w.bank.Answer(w.now, request))
 }
 
 // operate has operations arrive at a gateway, which asks between them, and counts those that begin.
@@ -50,11 +50,11 @@
 	began := 0
 	for range count {
 		verdict := w.purse(name).Take(w.now, "bakers")
-		if verdict == Short {
-			w.purse(name).Wait("bakers")
+		if verdict == NeedsGrant {
+			w.purse(name).AddWaiter("bakers")
 			w.ask(name)
-			verdict = w.purse(name).TakeAgain(w.now, "bakers")
-			w.purse(name).Waited("bakers")
+			verdict = w.purse(name).RetryTake(w.now, "bakers")
+			w.purse(name).RemoveWaiter("bakers")
 		}
 		if verdict == Taken {
 			began++
@@ -94,7 +94,7 @@
 	}
 	is.Equal(began, 6)
 	w.now = lost + reserveLife
-	is.Equal(w.purse("a").Take(w.now, "bakers"), Short)
+	is.Equal(w.purse("a").Take(w.now, "bakers"), NeedsGrant)
 }
 
 // QUOTA: what gateways hold in reserve is never more than the bank may lend, also where one is gone or a bank follows another.
@@ -120,7 +120,7 @@
 				is.True(sum() <= most)
 			}
 		}
-		w.purse(names[0]).Failed()
+		w.purse(names[0]).RequestFailed()
 		names = append(names[1:], names[0]+"'") // a gateway is gone, its reserve isn't yet
 		w.follow(bank, tenPerSecond)
 	}
@@ -241,18 +241,18 @@
 func TestRefusedGatewayTellsOnlyWhatItHolds(t *testing.T) {
 	is := is.New(t)
 	purse := newLimitedPurse()
-	is.Equal(purse.Take(0, "bakers"), Short)
-	_, due := purse.Next(0)
+	is.Equal(purse.Take(0, "bakers"), NeedsGrant)
+	_, due := purse.NextRequest(0)
 	is.True(due)
-	purse.Granted(0, Answer{Number: 1, Grants: []Grant{{Tenant: "bakers", Reserved: 3, ReserveLife: reserveLife}}})
+	purse.ApplyAnswer(0, Answer{Number: 1, Grants: []Grant{{Tenant: "bakers", Reserved: 3, ReserveLife: reserveLife}}})
 	for range 5 {
-		purse.Wait("bakers")
+		purse.AddWaiter("bakers")
 	}
 	refusedAt := reserveLife - reservePause
-	_, due = purse.Next(refusedAt)
+	_, due = purse.NextRequest(refusedAt)
 	is.True(due)
-	purse.Granted(refusedAt, Answer{Number: 2, Grants: []Grant{{Tenant: "bakers", Keep: 3, RetryAfter: longestRetry}}})
-	request, due := purse.Next(reserveLife)
+	purse.ApplyAnswer(refusedAt, Answer{Number: 2, Grants: []Grant{{Tenant: "bakers", Keep: 3, RetryAfter: longestRetry}}})
+	request, due := purse.NextRequest(reserveLife)
 	is.True(due)
 	is.Equal(request.Wants[0].Held, 0)
 }
--- a/control/quota/search_test.go
+++ b/control/quota/search_test.go
@@ -59,10 +59,10 @@
 // smallWorld is one moment of a history.
 type smallWorld struct {
 	tick     int
-	purses   []*Purse
-	banks    []*Bank // by term
-	deposed  int     // the tick in which the second term began; 0: it hasn't
-	forgets  bool    // the tenant may be taken out of the configuration and come back, once
+	purses   []*Budget
+	banks    []*Allocator // by term
+	deposed  int          // the tick in which the second term began; 0: it hasn't
+	forgets  bool         // the tenant may be taken out of the configuration and come back, once
 	requests []sentRequest
 	answers  []sentAnswer
 	taken    []int // operations by tick, of the last ones that a window can hold
@@ -73,8 +73,8 @@
 
 func (w *smallWorld) now() time.Duration { return time.Duration(w.tick) * searchTick }
 
-func (w *smallWorld) bank(opensAt time.Duration) *Bank {
-	bank := NewBank(1, opensAt, Rules{})
+func (w *smallWorld) bank(opensAt time.Duration) *Allocator {
+	bank := NewAllocator(1, opensAt, Rules{})
 	one := &bucket{filledAt: max(w.now(), opensAt)}
 	one.terms = terms{rate: 1 / searchTick.Seconds(), capacity: searchCapacity, life: searchLife * searchTick}
 	if w.lacks == capacityAlone {
@@ -91,22 +91,22 @@
 	}
 	first := w.bank(0)
 	first.buckets["t"].level = first.buckets["t"].capacity // as after a long rest
-	w.banks = []*Bank{first}
+	w.banks = []*Allocator{first}
 	return w
 }
 
-func newSearchPurse() *Purse {
-	purse := NewPurse()
-	purse.SetLimited([]string{"t"})
+func newSearchPurse() *Budget {
+	purse := NewBudget()
+	purse.SetLimitedTenants([]string{"t"})
 	for range searchWanted {
-		purse.Wait("t")
+		purse.AddWaiter("t")
 	}
 	return purse
 }
 
 func (w *smallWorld) copied() *smallWorld {
 	next := *w
-	next.purses = make([]*Purse, 0, len(w.purses))
+	next.purses = make([]*Budget, 0, len(w.purses))
 	for _, purse := range w.purses {
 		own, held := *purse, *purse.accounts["t"]
 		held.lots = slices.Clone(held.lots)
@@ -118,7 +118,7 @@
 }
 
 // own gives a bank that may be changed, which moments share otherwise.
-func (w *smallWorld) own(term int) *Bank {
+func (w *smallWorld) own(term int) *Allocator {
 	own, level := *w.banks[term], *w.banks[term].buckets["t"]
 	own.buckets = map[string]*bucket{"t": &level}
 	w.banks = slices.Clone(w.banks)
@@ -230,20 +230,20 @@
 }
 
 func (w *smallWorld) ask(gateway int) bool {
-	request, due := w.purses[gateway].Next(w.now())
+	request, due := w.purses[gateway].NextRequest(w.now())
 	w.requests = append(w.requests, sentRequest{gateway: gateway, request: request})
 	return due
 }
 
 func (w *smallWorld) giveUp(gateway int) bool {
 	was := w.purses[gateway].asking
-	w.purses[gateway].Failed()
+	w.purses[gateway].RequestFailed()
 	w.dropUseless()
 	return was
 }
 
 func (w *smallWorld) take(gateway int) bool {
-	taken := w.purses[gateway].TakeAgain(w.now(), "t") == Taken
+	taken := w.purses[gateway].RetryTake(w.now(), "t") == Taken
 	if taken {
 		w.taken[len(w.taken)-1]++
 	}
@@ -294,7 +294,7 @@
 		purse.askedAt = w.now()
 	}
 	before := len(purse.accounts["t"].lots)
-	purse.Granted(w.now(), sent.answer)
+	purse.ApplyAnswer(w.now(), sent.answer)
 	w.dropUseless()
 	return before != len(purse.accounts["t"].lots)
 }
--- a/gateway/allowance.go
+++ b/gateway/allowance.go
@@ -28,13 +28,13 @@
 	hungry chan struct{} // takes a word when the bank should be asked; holds one
 
 	mutex   sync.Mutex
-	purse   *quota.Purse
+	purse   *quota.Budget
 	changed chan struct{} // closed and replaced when the purse may hold something new
 	refused refusals
 }
 
 func newAllowance(now func() time.Duration) *allowance {
-	return &allowance{now: now, hungry: make(chan struct{}, 1), purse: quota.NewPurse(), changed: make(chan struct{}), refused: refusals{}}
+	return &allowance{now: now, hungry: make(chan struct{}, 1), purse: quota.NewBudget(), changed: make(chan struct{}), refused: refusals{}}
 }
 
 // limit takes over which tenants have a limit.
@@ -47,7 +47,7 @@
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.purse.SetLimited(limited)
+	a.purse.SetLimitedTenants(limited)
 	a.refused.keep(limited)
 }
 
@@ -56,16 +56,16 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	verdict := a.purse.Take(a.now(), tenant)
-	if verdict == quota.Short {
-		a.purse.Wait(tenant)
-		defer a.purse.Waited(tenant)
+	if verdict == quota.NeedsGrant {
+		a.purse.AddWaiter(tenant)
+		defer a.purse.RemoveWaiter(tenant)
 	}
-	if a.purse.Hungry(a.now(), tenant) {
+	if a.purse.ShouldRequest(a.now(), tenant) {
 		a.wakeBorrower()
 	}
-	for verdict == quota.Short && a.now() < until {
+	for verdict == quota.NeedsGrant && a.now() < until {
 		a.await(until)
-		verdict = a.purse.TakeAgain(a.now(), tenant)
+		verdict = a.purse.RetryTake(a.now(), tenant)
 	}
 	if verdict != quota.Taken {
 		a.refused[tenant]++
@@ -104,14 +104,14 @@
 func (a *allowance) next() (quota.Request, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.purse.Next(a.now())
+	return a.purse.NextRequest(a.now())
 }
 
 // granted books what the bank granted, and lets those who wait look again.
 func (a *allowance) granted(answer quota.Answer) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.purse.Granted(a.now(), answer)
+	a.purse.ApplyAnswer(a.now(), answer)
 	close(a.changed)
 	a.changed = make(chan struct{})
 	a.wakeBorrower() // others may have come to wait meanwhile
@@ -120,7 +120,7 @@
 func (a *allowance) failed() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.purse.Failed()
+	a.purse.RequestFailed()
 	a.wakeBorrower()
 }
 
--- a/simulation/gateway_tenants.go
+++ b/simulation/gateway_tenants.go
@@ -24,7 +24,7 @@
 	access   access.Table
 	keys     access.Trust
 	admitted map[string]string // tenant by session and key; used only where a guard is taken out
-	purse    *quota.Purse
+	purse    *quota.Budget
 	waiting  []*spender
 	asked    uint64 // number of the question for operations
 	primary  string // address of the controller that answered last
@@ -41,7 +41,7 @@
 	return tenantry{
 		keys:     access.Trust{Lasting: access.LastingFor(plan.Bounds.Revoke)},
 		admitted: map[string]string{},
-		purse:    quota.NewPurse(),
+		purse:    quota.NewBudget(),
 	}
 }
 
@@ -62,7 +62,7 @@
 			limited = append(limited, tenant.Name)
 		}
 	}
-	g.purse.SetLimited(limited)
+	g.purse.SetLimitedTenants(limited)
 }
 
 // trust is for how long the keys of the table held may be taken for good.
@@ -120,15 +120,15 @@
 func (g *gateway) spend(tenant string, done func(may bool)) {
 	w := g.world
 	verdict := g.purse.Take(w.now(), tenant)
-	if verdict != quota.Short {
-		if g.purse.Hungry(w.now(), tenant) {
+	if verdict != quota.NeedsGrant {
+		if g.purse.ShouldRequest(w.now(), tenant) {
 			g.borrow()
 		}
 		done(verdict == quota.Taken)
 		return
 	}
 	one := &spender{tenant: tenant, done: done}
-	g.purse.Wait(tenant)
+	g.purse.AddWaiter(tenant)
 	g.waiting = append(g.waiting, one)
 	life := g.life
 	w.schedule.after(operationsPatience, func() { g.whenAwake(life, func() { g.endWait(one, false) }) })
@@ -140,7 +140,7 @@
 		return
 	}
 	one.over = true
-	g.purse.Waited(one.tenant)
+	g.purse.RemoveWaiter(one.tenant)
 	one.done(may)
 }
 
@@ -148,7 +148,7 @@
 func (g *gateway) borrow() {
 	w := g.world
 	target := w.machineByAddress(g.primary)
-	request, due := g.purse.Next(w.now())
+	request, due := g.purse.NextRequest(w.now())
 	if !due {
 		return
 	}
@@ -179,7 +179,7 @@
 	if answer == nil {
 		w.schedule.after(operationsPause, func() {
 			g.whenAwake(life, func() {
-				g.purse.Failed()
+				g.purse.RequestFailed()
 				g.borrow()
 			})
 		})
@@ -191,7 +191,7 @@
 			answer.Grants[index].ReserveLife += w.plan.Length
 		}
 	}
-	g.purse.Granted(w.now(), *answer)
+	g.purse.ApplyAnswer(w.now(), *answer)
 	g.serveWaiting()
 	g.borrow()
 }
@@ -204,7 +204,7 @@
 		if one.over {
 			continue
 		}
-		if verdict := g.purse.TakeAgain(g.world.now(), one.tenant); verdict != quota.Short {
+		if verdict := g.purse.RetryTake(g.world.now(), one.tenant); verdict != quota.NeedsGrant {
 			g.endWait(one, verdict == quota.Taken)
 			continue
 		}
