--- a/control/controller/api.go
+++ b/control/controller/api.go
@@ -127,6 +127,6 @@
 
 // In controller.go:
 //
-//	func New(now time.Duration, settings Settings, durable replication.Durable) *Controller
+//	func New(now time.Duration, settings Settings, durable replication.DurableState) *Controller
 //	func (c *Controller) Step(now time.Duration, input Input) Effects
 //	func (c *Controller) Status() Status   for logs and tests
--- a/control/controller/beats.go
+++ b/control/controller/beats.go
@@ -23,14 +23,14 @@
 	if c.term != nil || len(c.beats) >= mostBeatNotes {
 		return false
 	}
-	if _, follows := c.node.Follows(); !follows {
+	if _, follows := c.node.FollowedPrimary(); !follows {
 		return false
 	}
 	record, found := state.InstanceByID(c.node, beat.InstanceID)
 	if !found || !beat.IsPlain(record) {
 		return false
 	}
-	c.beats = append(c.beats, replication.BeatNote{
+	c.beats = append(c.beats, replication.ForwardedHeartbeat{
 		InstanceID: beat.InstanceID, CallSeq: beat.CallSeq, Role: beat.DBRole, WarmupLeftMs: beat.WarmupLeftMs,
 	})
 	return true
@@ -41,7 +41,7 @@
 	if len(c.beats) == 0 {
 		return
 	}
-	if primary, follows := c.node.Follows(); follows {
+	if primary, follows := c.node.FollowedPrimary(); follows {
 		c.effects.Send = append(c.effects.Send, replication.Envelope{
 			To:      primary.Address,
 			Message: replication.Message{From: c.self, To: primary.Incarnation, Beats: c.beats},
@@ -51,7 +51,7 @@
 }
 
 // takeBeatNotes takes beats that a backup took. One that turns out to change something is decided on like any other.
-func (c *Controller) takeBeatNotes(notes []replication.BeatNote) {
+func (c *Controller) takeBeatNotes(notes []replication.ForwardedHeartbeat) {
 	if c.term == nil {
 		return
 	}
--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -297,7 +297,7 @@
 	case giveUpCopies:
 		c.reply(giveUpReply(command))
 	case doubtInstances:
-		c.stepNode(replication.DoubtsMarked{})
+		c.stepNode(replication.RestoredStateMarked{})
 		c.term.doubting = false
 	}
 }
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -30,7 +30,7 @@
 
 	term *term // what a primary keeps in memory; nil while this controller isn't primary
 
-	beats       []replication.BeatNote // taken for the primary and not told yet
+	beats       []replication.ForwardedHeartbeat // taken for the primary and not told yet
 	guards      disabledGuards
 	terminating bool
 	effects     Effects
@@ -64,7 +64,7 @@
 }
 
 // New makes a controller from what its disk holds.
-func New(now time.Duration, settings Settings, durable replication.Durable) *Controller {
+func New(now time.Duration, settings Settings, durable replication.DurableState) *Controller {
 	self := settings.Replication.Self
 	self.Incarnation = durable.Incarnation
 	settings.Replication.Self = self
@@ -83,7 +83,7 @@
 	c.effects = Effects{}
 	c.take(input)
 	c.settle()
-	c.effects.MayEnd = c.terminating && c.node.Left() && c.calls.empty()
+	c.effects.MayEnd = c.terminating && c.node.HasLeft() && c.calls.empty()
 	return c.effects
 }
 
@@ -183,7 +183,7 @@
 		confirmed: c.now,
 		freezes:   map[string]freeze{},
 	}
-	if c.node.LeadsRestored() {
+	if c.node.LeadsRestoredState() {
 		c.term.doubting = true
 		c.queue(command{kind: doubtInstances})
 	}
--- a/control/controller/scenario_test.go
+++ b/control/controller/scenario_test.go
@@ -57,7 +57,7 @@
 type player struct {
 	world  *world
 	labels map[string]*call
-	dumps  map[*machine]replication.Durable
+	dumps  map[*machine]replication.DurableState
 	seed   int64
 	guards disabledGuards
 	trace  func(string)
@@ -179,7 +179,7 @@
 	case "slow":
 		w.gateway(words[1]).slow = scenario.Span(words[2])
 	case "dump":
-		s.dumps = map[*machine]replication.Durable{}
+		s.dumps = map[*machine]replication.DurableState{}
 		for _, one := range w.machines {
 			s.dumps[one] = one.disk.durable
 			kept := s.dumps[one]
--- a/control/controller/world_test.go
+++ b/control/controller/world_test.go
@@ -40,7 +40,7 @@
 }
 
 type simulatedDisk struct {
-	durable replication.Durable
+	durable replication.DurableState
 	handed  []replication.Write // not on disk yet
 	delay   time.Duration
 	synced  uint64
@@ -132,7 +132,7 @@
 func (w *world) emptyDisk(one *machine) {
 	one.lives++
 	one.incarnation = quorum.Incarnation(fmt.Sprintf("%s%d", one.name, one.lives))
-	one.disk.durable = replication.Durable{Incarnation: one.incarnation, Entries: map[string][]byte{}}
+	one.disk.durable = replication.DurableState{Incarnation: one.incarnation, Entries: map[string][]byte{}}
 	one.disk.handed = nil
 }
 
--- a/control/replication/api.go
+++ b/control/replication/api.go
@@ -20,8 +20,8 @@
 	Mutations []Mutation
 }
 
-// Durable is what a controller reads from its disk when it starts. Settings.Self may leave the incarnation out.
-type Durable struct {
+// DurableState is what a controller reads from its disk when it starts. Settings.Self may leave the incarnation out.
+type DurableState struct {
 	Incarnation quorum.Incarnation
 	Voter       quorum.VoterRecord
 	Stamp       quorum.Stamp
@@ -73,19 +73,19 @@
 	Leave struct{}
 	// SeedsChanged replaces the seeds.
 	SeedsChanged struct{ Seeds []string }
-	// DoubtsMarked: what must be doubted in a state that was brought back from a dump is marked, and that is agreed.
-	DoubtsMarked struct{}
+	// RestoredStateMarked: what must be doubted in a state that was brought back from a dump is marked, and that is agreed.
+	RestoredStateMarked struct{}
 )
 
-func (Tick) input()         {}
-func (Received) input()     {}
-func (Persisted) input()    {}
-func (DiskFailed) input()   {}
-func (Propose) input()      {}
-func (Confirm) input()      {}
-func (Leave) input()        {}
-func (SeedsChanged) input() {}
-func (DoubtsMarked) input() {}
+func (Tick) input()                {}
+func (Received) input()            {}
+func (Persisted) input()           {}
+func (DiskFailed) input()          {}
+func (Propose) input()             {}
+func (Confirm) input()             {}
+func (Leave) input()               {}
+func (SeedsChanged) input()        {}
+func (RestoredStateMarked) input() {}
 
 // Outcome of a request.
 type Outcome int
@@ -149,7 +149,7 @@
 
 // The node itself is in node.go:
 //
-//	func NewNode(now time.Duration, settings Settings, durable Durable) *Node
+//	func NewNode(now time.Duration, settings Settings, durable DurableState) *Node
 //	func (n *Node) Step(now time.Duration, input Input) Effects
 //	func (n *Node) Role() Role
 //	func (n *Node) View() quorum.View            newest view known here; its primary is where callers are sent
@@ -159,7 +159,7 @@
 //	func (n *Node) MayPropose() bool             Primary, and no change under way
 //	func (n *Node) Entry(key string) ([]byte, bool)              of the committed state (Primary)
 //	func (n *Node) Entries(prefix string) []Mutation             sorted by key
-//	func (n *Node) Left() bool                   after Leave: primacy handed over, safe to end
+//	func (n *Node) HasLeft() bool                after Leave: primacy handed over, safe to end
 //
 // The messages are in message.go: a struct Message with a typed header (From quorum.Member, To incarnation or "",
 // Epoch) and one pointer field for each kind, all exported, so that encoding/gob carries it.
--- a/control/replication/disk.go
+++ b/control/replication/disk.go
@@ -29,7 +29,7 @@
 	promised quorum.Epoch
 }
 
-func newDisk(durable Durable) disk {
+func newDisk(durable DurableState) disk {
 	return disk{
 		stamp:    durable.Stamp,
 		accepted: durable.Voter.Accepted.ID,
--- a/control/replication/leaving.go
+++ b/control/replication/leaving.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Left tells, after Leave, that the process may end: the primacy is handed over and this node is no copy, or nothing
+// HasLeft tells, after Leave, that the process may end: the primacy is handed over and this node is no copy, or nothing
 // more can be gained.
-func (n *Node) Left() bool {
+func (n *Node) HasLeft() bool {
 	if !n.leaving.asked {
 		return false
 	}
--- a/control/replication/message.go
+++ b/control/replication/message.go
@@ -22,11 +22,11 @@
 	JoinAnswer   *JoinAnswer
 	Handover     *Handover
 
-	Beats []BeatNote // plain heartbeats that a backup took; not of the protocol, carried beside it
+	Beats []ForwardedHeartbeat // plain heartbeats that a backup took; not of the protocol, carried beside it
 }
 
-// BeatNote tells the primary of a heartbeat that a backup took, which said nothing that isn't recorded of the instance.
-type BeatNote struct {
+// ForwardedHeartbeat tells the primary of a heartbeat that a backup took, which said nothing that isn't recorded of the instance.
+type ForwardedHeartbeat struct {
 	InstanceID   string
 	CallSeq      uint64
 	Role         string // as the instance says it
--- a/control/replication/node.go
+++ b/control/replication/node.go
@@ -68,7 +68,7 @@
 }
 
 // NewNode returns a node that has what was on its disk.
-func NewNode(now time.Duration, settings Settings, durable Durable) *Node {
+func NewNode(now time.Duration, settings Settings, durable DurableState) *Node {
 	node := &Node{
 		settings: settings,
 		self:     settings.Self,
@@ -127,7 +127,7 @@
 		n.leave()
 	case SeedsChanged:
 		n.settings.Seeds = input.Seeds
-	case DoubtsMarked:
+	case RestoredStateMarked:
 		n.noteAgreed()
 	}
 	n.progress()
@@ -261,8 +261,8 @@
 	return n.known.Voter(n.known.Primary)
 }
 
-// Follows gives the primary that this node follows as a copy of its view, if it was heard lately.
-func (n *Node) Follows() (quorum.Member, bool) {
+// FollowedPrimary gives the primary that this node follows as a copy of its view, if it was heard lately.
+func (n *Node) FollowedPrimary() (quorum.Member, bool) {
 	if n.leadership != nil || !n.known.HasCopy(n.self.Incarnation) {
 		return quorum.Member{}, false
 	}
@@ -284,9 +284,9 @@
 	return live
 }
 
-// LeadsRestored tells whether this node leads with a state that was brought back from a dump: what was acknowledged since the dump was
+// LeadsRestoredState tells whether this node leads with a state that was brought back from a dump: what was acknowledged since the dump was
 // made isn't in it.
-func (n *Node) LeadsRestored() bool { return n.leads() && n.record.Restored }
+func (n *Node) LeadsRestoredState() bool { return n.leads() && n.record.Restored }
 
 // Epoch of the view that this node leads; zero if it doesn't lead.
 func (n *Node) Epoch() quorum.Epoch {
--- a/control/replication/node_test.go
+++ b/control/replication/node_test.go
@@ -29,7 +29,7 @@
 
 // backup is node b of a settled core.
 func backup() *Node {
-	return NewNode(0, Settings{Self: member("b"), Tolerance: 1, Timing: DefaultTiming(), Random: 1}, Durable{
+	return NewNode(0, Settings{Self: member("b"), Tolerance: 1, Timing: DefaultTiming(), Random: 1}, DurableState{
 		Incarnation: "b",
 		Voter:       quorum.VoterRecord{Promised: 3, Accepted: threeVoters()},
 		Stamp:       quorum.Stamp{Epoch: 3, Sequence: 7},
--- a/control/replication/world_test.go
+++ b/control/replication/world_test.go
@@ -39,7 +39,7 @@
 }
 
 type simulatedDisk struct {
-	durable   Durable
+	durable   DurableState
 	handed    []Write // not yet on disk
 	busyUntil time.Duration
 	delay     time.Duration
@@ -66,7 +66,7 @@
 	random     *rand.Rand
 	machines   []*machine
 	byAddress  map[string]*machine
-	lost       []Durable // disks that are gone
+	lost       []DurableState // disks that are gone
 	cut        virtualtime.Links
 	loss       float64
 	doubled    float64
@@ -139,7 +139,7 @@
 		one.lives++
 	}
 	one.incarnation = quorum.Incarnation(fmt.Sprintf("%s%d", one.name, one.lives))
-	one.disk.durable = Durable{Incarnation: one.incarnation, Entries: map[string][]byte{}}
+	one.disk.durable = DurableState{Incarnation: one.incarnation, Entries: map[string][]byte{}}
 	one.disk.handed = nil
 }
 
@@ -364,7 +364,7 @@
 	for _, decision := range effects.Decisions {
 		w.judge.decided(w, one, decision)
 	}
-	if one.stopping && one.node.Left() {
+	if one.stopping && one.node.HasLeft() {
 		w.kill(one)
 		if one.comesBack {
 			w.schedule(time.Second, func() { w.start(one) })
--- a/control/store/contents.go
+++ b/control/store/contents.go
@@ -30,8 +30,8 @@
 	}}
 }
 
-func (c contents) durable() replication.Durable {
-	return replication.Durable{
+func (c contents) durable() replication.DurableState {
+	return replication.DurableState{
 		Incarnation: c.head.Incarnation,
 		Voter:       c.head.Voter,
 		Stamp:       c.head.Stamp,
--- a/control/store/crash_test.go
+++ b/control/store/crash_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-func openAs(incarnation quorum.Incarnation, directory string) (*Store, replication.Durable, error) {
+func openAs(incarnation quorum.Incarnation, directory string) (*Store, replication.DurableState, error) {
 	return Open(directory, Options{
 		FirstStart:     true,
 		NewIncarnation: func() quorum.Incarnation { return incarnation },
@@ -132,7 +132,7 @@
 // crashTest opens what power losses leave, and compares.
 type crashTest struct {
 	t      *testing.T
-	states []replication.Durable
+	states []replication.DurableState
 	mixes  int
 	safe   int // the last step that was marked; -1: the first Open had not returned
 	cases  int
--- a/control/store/damage_test.go
+++ b/control/store/damage_test.go
@@ -19,7 +19,7 @@
 
 // soundFile makes a closed file with some pages of each kind, and returns its bytes and the states after its last two
 // transactions.
-func soundFile(t testing.TB) (file []byte, before, last replication.Durable) {
+func soundFile(t testing.TB) (file []byte, before, last replication.DurableState) {
 	t.Helper()
 	is := is.New(t)
 	directory := t.TempDir()
@@ -36,7 +36,7 @@
 }
 
 // openBytes opens a folder that holds these bytes as its file.
-func openBytes(t *testing.T, file []byte) (string, replication.Durable, error) {
+func openBytes(t *testing.T, file []byte) (string, replication.DurableState, error) {
 	t.Helper()
 	directory := t.TempDir()
 	if err := os.WriteFile(filepath.Join(directory, FileName), file, fileMode); err != nil {
@@ -49,7 +49,7 @@
 	return directory, found, err
 }
 
-func isNew(found replication.Durable) bool {
+func isNew(found replication.DurableState) bool {
 	return found.Incarnation == "new" && !found.Voter.MayFound && len(found.Entries) == 0
 }
 
@@ -90,9 +90,9 @@
 		case isNew(found):
 			setAside++
 			expectSetAside(t, directory, harmed)
-		case stepOf(found, []replication.Durable{last}) == 0:
+		case stepOf(found, []replication.DurableState{last}) == 0:
 			used++
-		case position/pageSize == newest && stepOf(found, []replication.Durable{before}) == 0:
+		case position/pageSize == newest && stepOf(found, []replication.DurableState{before}) == 0:
 		default:
 			t.Fatalf("position %d: a damaged state came back, stamp %s, %d entries", position, found.Stamp, len(found.Entries))
 		}
@@ -163,7 +163,7 @@
 			}
 			return
 		}
-		if stepOf(found.durable(), []replication.Durable{last}) != 0 {
+		if stepOf(found.durable(), []replication.DurableState{last}) != 0 {
 			t.Fatal("a damaged state was let pass")
 		}
 		if _, opened, err := openBytes(t, file); err != nil || isNew(opened) {
--- a/control/store/dump_test.go
+++ b/control/store/dump_test.go
@@ -15,7 +15,7 @@
 )
 
 // dumped makes a file with entries that are hard to write as text, and returns its path, its state and its dump.
-func dumped(t *testing.T) (string, replication.Durable, string) {
+func dumped(t *testing.T) (string, replication.DurableState, string) {
 	t.Helper()
 	is := is.New(t)
 	directory := t.TempDir()
--- a/control/store/script_test.go
+++ b/control/store/script_test.go
@@ -44,8 +44,8 @@
 }
 
 // scriptStates gives the state before the script and after each of its steps.
-func scriptStates(start replication.Durable) []replication.Durable {
-	states := []replication.Durable{start}
+func scriptStates(start replication.DurableState) []replication.DurableState {
+	states := []replication.DurableState{start}
 	for _, writes := range script() {
 		states = append(states, stateAfter(states[len(states)-1], writes))
 	}
@@ -53,7 +53,7 @@
 }
 
 // stateAfter is the meaning of Apply.
-func stateAfter(before replication.Durable, writes []replication.Write) replication.Durable {
+func stateAfter(before replication.DurableState, writes []replication.Write) replication.DurableState {
 	after := before
 	after.Entries = map[string][]byte{}
 	for key, value := range before.Entries {
@@ -79,8 +79,8 @@
 	return after
 }
 
-func freshState() replication.Durable {
-	return replication.Durable{Incarnation: runIncarnation, Voter: quorum.VoterRecord{MayFound: true}, Entries: map[string][]byte{}}
+func freshState() replication.DurableState {
+	return replication.DurableState{Incarnation: runIncarnation, Voter: quorum.VoterRecord{MayFound: true}, Entries: map[string][]byte{}}
 }
 
 func must(err error) {
@@ -90,7 +90,7 @@
 }
 
 // stepOf finds a state among those of the script, or returns -1.
-func stepOf(found replication.Durable, states []replication.Durable) int {
+func stepOf(found replication.DurableState, states []replication.DurableState) int {
 	for step, state := range states {
 		if reflect.DeepEqual(found, state) {
 			return step
--- a/control/store/store.go
+++ b/control/store/store.go
@@ -40,7 +40,7 @@
 
 // Open reads the state in the directory. An empty directory, or one with a damaged state, becomes a new incarnation.
 // What Open returns is safe on disk.
-func Open(directory string, options Options) (*Store, replication.Durable, error) {
+func Open(directory string, options Options) (*Store, replication.DurableState, error) {
 	if options.NewIncarnation == nil {
 		options.NewIncarnation = randomIncarnation
 	}
@@ -48,12 +48,12 @@
 		options.Log = logrus.StandardLogger()
 	}
 	if err := os.MkdirAll(directory, folderMode); err != nil {
-		return nil, replication.Durable{}, eris.Wrap(err, "make the folder of the control state")
+		return nil, replication.DurableState{}, eris.Wrap(err, "make the folder of the control state")
 	}
 	store := &Store{directory: directory, options: options}
 	found, err := store.start()
 	if err != nil {
-		return nil, replication.Durable{}, err
+		return nil, replication.DurableState{}, err
 	}
 	return store, found.durable(), nil
 }
@@ -98,14 +98,14 @@
 //
 // A file that is found damaged here is an error (see IsDamage), and left to the next Open: the running process
 // still speaks as the old incarnation.
-func (s *Store) Reopen() (replication.Durable, error) {
+func (s *Store) Reopen() (replication.DurableState, error) {
 	if s.closed {
-		return replication.Durable{}, ErrClosed
+		return replication.DurableState{}, ErrClosed
 	}
 	s.release()
 	found, err := s.rewrite()
 	if err != nil {
-		return replication.Durable{}, eris.Wrap(err, "reopen the control state")
+		return replication.DurableState{}, eris.Wrap(err, "reopen the control state")
 	}
 	return found.durable(), nil
 }
--- a/control/store/store_test.go
+++ b/control/store/store_test.go
@@ -76,7 +76,7 @@
 
 	store, again, err := Open(directory, Options{Log: silent(), FirstStart: true})
 	is.NoErr(err)
-	is.Equal(again, replication.Durable{
+	is.Equal(again, replication.DurableState{
 		Incarnation: first.Incarnation,
 		Voter:       *voterRecord(3),
 		Stamp:       quorum.Stamp{Epoch: 3, Sequence: 2},
--- a/host/disk.go
+++ b/host/disk.go
@@ -23,7 +23,7 @@
 // diskStore is what the writer needs of the store.
 type diskStore interface {
 	Apply(writes []replication.Write) error
-	Reopen() (replication.Durable, error)
+	Reopen() (replication.DurableState, error)
 }
 
 // errOtherDisk ends the process: it must not speak for an incarnation whose promises are gone.
--- a/host/harness_test.go
+++ b/host/harness_test.go
@@ -116,11 +116,11 @@
 	return nil
 }
 
-func (m *memoryStore) Reopen() (replication.Durable, error) {
+func (m *memoryStore) Reopen() (replication.DurableState, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.reopened <- struct{}{}
-	return replication.Durable{Incarnation: m.found}, m.reopenError
+	return replication.DurableState{Incarnation: m.found}, m.reopenError
 }
 
 func (m *memoryStore) set(change func(*memoryStore)) {
--- a/host/host.go
+++ b/host/host.go
@@ -97,7 +97,7 @@
 	background sync.WaitGroup
 }
 
-func newProcess(parent context.Context, boot Boot, opened *store.Store, durable replication.Durable) *process {
+func newProcess(parent context.Context, boot Boot, opened *store.Store, durable replication.DurableState) *process {
 	ctx, cancel := context.WithCancelCause(parent)
 	counters := &counters{}
 	inbox := newMailbox(mailboxLimit)
--- a/host/open.go
+++ b/host/open.go
@@ -23,7 +23,7 @@
 )
 
 // openStore opens the store, and waits for a disk in trouble.
-func openStore(ctx context.Context, boot Boot) (*store.Store, replication.Durable, error) {
+func openStore(ctx context.Context, boot Boot) (*store.Store, replication.DurableState, error) {
 	options := store.Options{FirstStart: boot.Settings.FirstStart, Log: boot.Log}
 	told := false
 	for {
@@ -32,14 +32,14 @@
 			return opened, durable, nil
 		}
 		if isFinal(err) {
-			return nil, replication.Durable{}, err
+			return nil, replication.DurableState{}, err
 		}
 		if !told {
 			boot.Log.WithError(err).Warn("disk: the store does not open; trying on")
 			told = true
 		}
 		if !sleep(ctx, openPause) {
-			return nil, replication.Durable{}, err
+			return nil, replication.DurableState{}, err
 		}
 	}
 }
--- a/simulation/disk.go
+++ b/simulation/disk.go
@@ -48,12 +48,12 @@
 }
 
 // durable is what a process finds when it starts.
-func (d *disk) durable() replication.Durable {
+func (d *disk) durable() replication.DurableState {
 	entries := make(map[string][]byte, len(d.entries))
 	for key, value := range d.entries {
 		entries[key] = append([]byte(nil), value...)
 	}
-	return replication.Durable{Incarnation: d.incarnation, Voter: d.voter, Stamp: d.stamp, Entries: entries}
+	return replication.DurableState{Incarnation: d.incarnation, Voter: d.voter, Stamp: d.stamp, Entries: entries}
 }
 
 // submit takes a write of the process of the given life.
--- a/simulation/judge_test.go
+++ b/simulation/judge_test.go
@@ -25,7 +25,7 @@
 type tampering func(core *controller.Controller) tampered
 
 func tamperedCore(tamper tampering) NewCore {
-	return func(now time.Duration, settings controller.Settings, durable replication.Durable) Core {
+	return func(now time.Duration, settings controller.Settings, durable replication.DurableState) Core {
 		return tamper(controller.New(now, settings, durable))
 	}
 }
--- a/simulation/machine.go
+++ b/simulation/machine.go
@@ -20,7 +20,7 @@
 }
 
 // NewCore starts the decision code from what is on disk.
-type NewCore func(now time.Duration, settings controller.Settings, durable replication.Durable) Core
+type NewCore func(now time.Duration, settings controller.Settings, durable replication.DurableState) Core
 
 // Times of the host around a controller.
 const (
--- a/simulation/measure_test.go
+++ b/simulation/measure_test.go
@@ -127,7 +127,7 @@
 	plan, err := Parse("measured", strings.Join(lines, "\n"))
 	is.New(t).NoErr(err)
 	counted := newMeter()
-	newCore := func(now time.Duration, settings controller.Settings, durable replication.Durable) Core {
+	newCore := func(now time.Duration, settings controller.Settings, durable replication.DurableState) Core {
 		name := settings.Replication.Self.Name
 		counted.askers[name] = map[controller.Call]string{}
 		return meteredCore{Controller: controller.New(now, settings, durable), meter: counted, name: name}
--- a/simulation/scenario_test.go
+++ b/simulation/scenario_test.go
@@ -21,7 +21,7 @@
 	moreSeeds   = flag.Uint64("seeds", 0, "play days with so many seeds of chance, instead of those that the file names")
 )
 
-func realCore(now time.Duration, settings controller.Settings, durable replication.Durable) Core {
+func realCore(now time.Duration, settings controller.Settings, durable replication.DurableState) Core {
 	return controller.New(now, settings, durable)
 }
 
