--- a/control/controller/api.go
+++ b/control/controller/api.go
@@ -11,8 +11,8 @@
 	"eiderway/control/replication"
 )
 
-// Call numbers a question of a caller, as handed out by the host. Each is answered exactly once.
-type Call uint64
+// CallID numbers a question of a caller, as handed out by the host. Each is answered exactly once.
+type CallID uint64
 
 // Input is one thing that happens to a controller.
 type Input interface{ input() }
@@ -26,66 +26,66 @@
 	Persisted struct{ Write uint64 }
 	// DiskFailed: the disk refused this write and all after it that were handed out so far.
 	DiskFailed struct{ Write uint64 }
-	// Order is POST /config/replace.
-	Order struct {
-		Call Call
+	// ReplaceConfiguration is POST /config/replace.
+	ReplaceConfiguration struct {
+		Call CallID
 		Body []byte
 	}
-	// Fetch is GET /config/fetch.
-	Fetch struct{ Call Call }
+	// FetchConfiguration is GET /config/fetch.
+	FetchConfiguration struct{ Call CallID }
 	// Heartbeat is POST /instances/ID/heartbeat.
 	Heartbeat struct {
-		Call      Call
+		Call      CallID
 		Heartbeat registry.Heartbeat
 	}
 	// InstanceLeave is POST /instances/ID/leave.
 	InstanceLeave struct {
-		Call       Call
+		Call       CallID
 		InstanceID string
 	}
 	// GiveUp is an operator's word that what the lost copies of a service may have held is given up.
 	GiveUp struct {
-		Call    Call
+		Call    CallID
 		Service string
 		By      string
 		At      time.Time // by this machine's clock, for the record
 	}
 	// Watch is a gateway's question.
 	Watch struct {
-		Call    Call
+		Call    CallID
 		Request feed.WatchRequest
 	}
 	// Abandon: the caller has gone; no answer is wanted.
-	Abandon struct{ Call Call }
-	// Probed ends a probe of an instance.
-	Probed struct{ Result failover.ProbeResult }
-	// PlatformCalled ends a call to the platform.
-	PlatformCalled struct{ Result failover.PlatformResult }
+	Abandon struct{ Call CallID }
+	// ProbeFinished ends a probe of an instance.
+	ProbeFinished struct{ Result failover.ProbeResult }
+	// PlatformCallFinished ends a call to the platform.
+	PlatformCallFinished struct{ Result failover.PlatformResult }
 	// Terminate: SIGTERM came.
 	Terminate struct{}
 	// SeedsChanged: the settings file names other seeds.
 	SeedsChanged struct{ Seeds []string }
 )
 
-func (Tick) input()           {}
-func (PeerMessage) input()    {}
-func (Persisted) input()      {}
-func (DiskFailed) input()     {}
-func (Order) input()          {}
-func (Fetch) input()          {}
-func (Heartbeat) input()      {}
-func (InstanceLeave) input()  {}
-func (GiveUp) input()         {}
-func (Watch) input()          {}
-func (Abandon) input()        {}
-func (Probed) input()         {}
-func (PlatformCalled) input() {}
-func (Terminate) input()      {}
-func (SeedsChanged) input()   {}
+func (Tick) input()                 {}
+func (PeerMessage) input()          {}
+func (Persisted) input()            {}
+func (DiskFailed) input()           {}
+func (ReplaceConfiguration) input() {}
+func (FetchConfiguration) input()   {}
+func (Heartbeat) input()            {}
+func (InstanceLeave) input()        {}
+func (GiveUp) input()               {}
+func (Watch) input()                {}
+func (Abandon) input()              {}
+func (ProbeFinished) input()        {}
+func (PlatformCallFinished) input() {}
+func (Terminate) input()            {}
+func (SeedsChanged) input()         {}
 
 // Reply ends an HTTP call. With Redirect, Location is the control address of the primary: the host appends the path.
 type Reply struct {
-	Call     Call
+	Call     CallID
 	Status   int
 	Redirect string
 	Body     []byte // JSON; nil for none
@@ -93,7 +93,7 @@
 
 // WatchReply ends a gateway's question.
 type WatchReply struct {
-	Call   Call
+	Call   CallID
 	Answer feed.WatchAnswer
 }
 
@@ -102,27 +102,27 @@
 
 // Effects is what the host must do after a step, in this order.
 type Effects struct {
-	Writes       []replication.Write
-	Send         []replication.Envelope
-	Replies      []Reply
-	WatchReplies []WatchReply
-	Probes       []failover.Probe
-	Calls        []failover.PlatformCall
-	Events       []Event
-	MayEnd       bool // after Terminate: nothing is lost by ending now
+	Writes        []replication.Write
+	Send          []replication.Envelope
+	Replies       []Reply
+	WatchReplies  []WatchReply
+	Probes        []failover.Probe
+	PlatformCalls []failover.PlatformCall
+	Events        []Event
+	CanExit       bool // after Terminate: nothing is lost by ending now
 }
 
 // Settings of a controller.
 type Settings struct {
-	Replication  replication.Settings
-	Failover     failover.Settings // Fence is filled in by the controller
-	Lease        time.Duration     // of a table at a gateway
-	LeaseMargin  time.Duration     // waited beyond it: clocks may differ by this much in that time
-	WatchWait    time.Duration     // longest wait of a gateway's question
-	InstanceLost time.Duration     // silence after which an instance is taken for lost
-	CallWait     time.Duration     // after which a call that can't be settled is answered 503
-	Quota        quota.Rules
-	Lacking      guard.Set // guards that a test takes out
+	Replication     replication.Settings
+	Failover        failover.Settings // Fence is filled in by the controller
+	Lease           time.Duration     // of a table at a gateway
+	LeaseMargin     time.Duration     // waited beyond it: clocks may differ by this much in that time
+	MaxWatchWait    time.Duration     // longest wait of a gateway's question
+	InstanceTimeout time.Duration     // silence after which an instance is taken for lost
+	CallTimeout     time.Duration     // after which a call that can't be settled is answered 503
+	Quota           quota.Rules
+	DisabledGuards  guard.Set // guards that a test takes out
 }
 
 // In controller.go:
--- a/control/controller/beats.go
+++ b/control/controller/beats.go
@@ -55,7 +55,7 @@
 	if c.term == nil {
 		return
 	}
-	transaction := state.NewTransaction(c.node).Lacking(c.settings.Lacking)
+	transaction := state.NewTransaction(c.node).Lacking(c.settings.DisabledGuards)
 	for _, note := range notes {
 		record, found := state.InstanceByID(c.node, note.InstanceID)
 		if !found {
--- a/control/controller/callers_test.go
+++ b/control/controller/callers_test.go
@@ -39,7 +39,7 @@
 		`"serviceTable":[{"name":"s","maxConnections":84,"protocol":"h1","syncReplicas":1}],"limits":{}}`, number, content))
 }
 
-func (w *world) send(made *call, input func(Call) Input) *call {
+func (w *world) send(made *call, input func(CallID) Input) *call {
 	w.lastCall++
 	number := w.lastCall
 	made.sent, made.life, made.newest = w.now, made.to.life, w.orders.newest
@@ -52,20 +52,20 @@
 
 func (w *world) sendOrder(to *machine, number int64, content string) *call {
 	made := &call{to: to, number: number, content: content}
-	return w.send(made, func(c Call) Input { return Order{Call: c, Body: body(number, content)} })
+	return w.send(made, func(c CallID) Input { return ReplaceConfiguration{Call: c, Body: body(number, content)} })
 }
 
 func (w *world) sendInvalid(to *machine) *call {
 	made := &call{to: to, invalid: true}
-	return w.send(made, func(c Call) Input { return Order{Call: c, Body: []byte(`{"configRevision":1`)} })
+	return w.send(made, func(c CallID) Input { return ReplaceConfiguration{Call: c, Body: []byte(`{"configRevision":1`)} })
 }
 
 func (w *world) sendFetch(to *machine) *call {
-	return w.send(&call{to: to, fetch: true}, func(c Call) Input { return Fetch{Call: c} })
+	return w.send(&call{to: to, fetch: true}, func(c CallID) Input { return FetchConfiguration{Call: c} })
 }
 
 func (w *world) sendLeave(to *machine, id string) *call {
-	return w.send(&call{to: to, drains: id}, func(c Call) Input { return InstanceLeave{Call: c, InstanceID: id} })
+	return w.send(&call{to: to, drains: id}, func(c CallID) Input { return InstanceLeave{Call: c, InstanceID: id} })
 }
 
 func (w *world) sendBeat(to *machine, beat registry.Heartbeat) *call {
@@ -73,7 +73,7 @@
 	if beat.OperState == registry.Draining {
 		made.drains = beat.InstanceID
 	}
-	return w.send(made, func(c Call) Input { return Heartbeat{Call: c, Heartbeat: beat} })
+	return w.send(made, func(c CallID) Input { return Heartbeat{Call: c, Heartbeat: beat} })
 }
 
 func (w *world) replied(by *machine, reply Reply) {
--- a/control/controller/calls.go
+++ b/control/controller/calls.go
@@ -12,35 +12,35 @@
 // openCalls are the HTTP calls that haven't been answered, in the order in which they came.
 type openCalls struct {
 	order []openCall
-	open  map[Call]bool
+	open  map[CallID]bool
 }
 
 type openCall struct {
-	call     Call
+	call     CallID
 	deadline time.Duration
 }
 
-func newOpenCalls() *openCalls { return &openCalls{open: map[Call]bool{}} }
+func newOpenCalls() *openCalls { return &openCalls{open: map[CallID]bool{}} }
 
-func (o *openCalls) add(call Call, deadline time.Duration) {
+func (o *openCalls) add(call CallID, deadline time.Duration) {
 	o.open[call] = true
 	o.order = append(o.order, openCall{call: call, deadline: deadline})
 }
 
 // drop forgets a call and tells whether it was open.
-func (o *openCalls) drop(call Call) bool {
+func (o *openCalls) drop(call CallID) bool {
 	wasOpen := o.open[call]
 	delete(o.open, call)
 	return wasOpen
 }
 
-func (o *openCalls) isOpen(call Call) bool { return o.open[call] }
+func (o *openCalls) isOpen(call CallID) bool { return o.open[call] }
 
 func (o *openCalls) empty() bool { return len(o.open) == 0 }
 
 // overdue removes calls from the queue whose deadline is past, and returns those that are still open.
-func (o *openCalls) overdue(now time.Duration) []Call {
-	var late []Call
+func (o *openCalls) overdue(now time.Duration) []CallID {
+	var late []CallID
 	for len(o.order) > 0 && (o.order[0].deadline <= now || !o.open[o.order[0].call]) {
 		if o.open[o.order[0].call] {
 			late = append(late, o.order[0].call)
@@ -58,7 +58,7 @@
 }
 
 // redirect sends a caller to the primary, or away for now if none is known.
-func (c *Controller) redirect(call Call) {
+func (c *Controller) redirect(call CallID) {
 	primary, known := c.node.PrimaryMember()
 	if !known || primary.Incarnation == c.self.Incarnation {
 		c.unavailable(call)
@@ -68,7 +68,7 @@
 }
 
 // unavailable answers that this controller can't settle the call now; the outcome of a change is not known.
-func (c *Controller) unavailable(call Call) {
+func (c *Controller) unavailable(call CallID) {
 	c.reply(Reply{Call: call, Status: http.StatusServiceUnavailable, Body: errorBody("not settled here; ask again")})
 }
 
--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -40,7 +40,7 @@
 // command is something that may change the control state. It is decided at the primary, in turn.
 type command struct {
 	kind       commandKind
-	call       Call
+	call       CallID
 	order      configuration.Order
 	heartbeat  registry.Heartbeat
 	instanceID string
@@ -59,8 +59,8 @@
 }
 
 // takeOrder checks the content first: what is wrong with it is wrong everywhere and for ever.
-func (c *Controller) takeOrder(in Order) {
-	c.calls.add(in.Call, c.now+c.settings.CallWait)
+func (c *Controller) takeOrder(in ReplaceConfiguration) {
+	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
 	order, err := configuration.Parse(in.Body)
 	if err != nil {
 		c.reply(Reply{Call: in.Call, Status: contentStatus(err), Body: errorBody(err.Error())})
@@ -79,7 +79,7 @@
 }
 
 func (c *Controller) takeHeartbeat(in Heartbeat) {
-	c.calls.add(in.Call, c.now+c.settings.CallWait)
+	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
 	if c.takesForPrimary(in.Heartbeat) {
 		c.reply(Reply{Call: in.Call, Status: http.StatusOK, Body: beatBody(c.self)})
 		return
@@ -88,7 +88,7 @@
 }
 
 func (c *Controller) takeInstanceLeave(in InstanceLeave) {
-	c.calls.add(in.Call, c.now+c.settings.CallWait)
+	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
 	c.queueCall(command{kind: instanceLeaves, call: in.Call, instanceID: in.InstanceID})
 }
 
@@ -129,7 +129,7 @@
 	count := min(len(c.term.commands), commandsPerBatch)
 	batch := &batch{request: c.nextRequest(), started: c.now, commands: c.term.commands[:count:count]}
 	c.term.commands = c.term.commands[count:]
-	transaction := state.NewTransaction(c.node).Lacking(c.settings.Lacking)
+	transaction := state.NewTransaction(c.node).Lacking(c.settings.DisabledGuards)
 	for index := range batch.commands {
 		c.decide(transaction, &batch.commands[index])
 	}
--- a/control/controller/commands_test.go
+++ b/control/controller/commands_test.go
@@ -61,6 +61,6 @@
 	}
 	is.Equal(len(a.controller.calls.open), 0)
 	for _, waiting := range a.controller.term.commands {
-		is.Equal(waiting.call, Call(0)) // only what the controller itself wants
+		is.Equal(waiting.call, CallID(0)) // only what the controller itself wants
 	}
 }
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -83,7 +83,7 @@
 	c.effects = Effects{}
 	c.take(input)
 	c.settle()
-	c.effects.MayEnd = c.terminating && c.node.Left() && c.calls.empty()
+	c.effects.CanExit = c.terminating && c.node.Left() && c.calls.empty()
 	return c.effects
 }
 
@@ -108,9 +108,9 @@
 	case Terminate:
 		c.terminating = true
 		c.stepNode(replication.Leave{})
-	case Order:
+	case ReplaceConfiguration:
 		c.takeOrder(in)
-	case Fetch:
+	case FetchConfiguration:
 		c.takeFetch(in)
 	case Heartbeat:
 		c.takeHeartbeat(in)
@@ -122,9 +122,9 @@
 		c.takeWatch(in)
 	case Abandon:
 		c.abandon(in.Call)
-	case Probed:
+	case ProbeFinished:
 		c.takeProbe(in)
-	case PlatformCalled:
+	case PlatformCallFinished:
 		c.takePlatformCall(in)
 	}
 }
@@ -171,11 +171,11 @@
 	epoch := c.node.Epoch()
 	failoverSettings := c.settings.Failover
 	failoverSettings.Fence = uint64(epoch)
-	failoverSettings.Lacking = c.settings.Lacking
+	failoverSettings.Lacking = c.settings.DisabledGuards
 	c.term = &term{
 		epoch:     epoch,
 		reader:    state.NewServiceReader(),
-		registry:  registry.New(c.now, c.settings.InstanceLost).Lacking(c.settings.Lacking),
+		registry:  registry.New(c.now, c.settings.InstanceTimeout).Lacking(c.settings.DisabledGuards),
 		failover:  failover.New(c.now, failoverSettings),
 		grants:    newGrants(c.now, c.settings.Lease+c.settings.LeaseMargin, c.guards),
 		table:     newTable(epoch),
@@ -247,14 +247,14 @@
 
 // Status tells how things stand, for logs and tests.
 type Status struct {
-	Role          replication.Role
-	View          quorum.View
-	Stamp         quorum.Stamp
-	Configuration int64
-	Frozen        []string
-	Broken        uint64          // invariants, since the start
-	Operations    quota.Counts    // of tenants, since the start
-	Services      []ServiceStatus // at the primary
+	Role                replication.Role
+	View                quorum.View
+	Stamp               quorum.Stamp
+	ConfigurationNumber int64
+	FrozenServices      []string
+	BrokenInvariants    uint64          // invariants, since the start
+	Operations          quota.Counts    // of tenants, since the start
+	Services            []ServiceStatus // at the primary
 }
 
 // ServiceStatus tells how a service stands.
@@ -267,11 +267,11 @@
 
 // Status tells how things stand.
 func (c *Controller) Status() Status {
-	status := Status{Role: c.node.Role(), View: c.node.View(), Stamp: c.node.Stamp(), Broken: c.invariantsBroken, Operations: c.operations}
+	status := Status{Role: c.node.Role(), View: c.node.View(), Stamp: c.node.Stamp(), BrokenInvariants: c.invariantsBroken, Operations: c.operations}
 	if c.term != nil {
 		status.Operations = c.operations.Plus(c.term.bank.Counts())
-		status.Configuration = c.term.table.configurationNumber
-		status.Frozen = c.term.frozenServices()
+		status.ConfigurationNumber = c.term.table.configurationNumber
+		status.FrozenServices = c.term.frozenServices()
 		status.Services = c.term.serviceStatus()
 	}
 	return status
--- a/control/controller/cost_test.go
+++ b/control/controller/cost_test.go
@@ -32,7 +32,7 @@
 	leads := w.primary()
 	w.lastCall++
 	w.calls[w.lastCall] = &call{to: leads}
-	w.give(leads, Order{Call: w.lastCall, Body: bigBody(1, routes)})
+	w.give(leads, ReplaceConfiguration{Call: w.lastCall, Body: bigBody(1, routes)})
 	for index := range 3 * services {
 		one := w.addInstance(fmt.Sprintf("i%d", index), index < services)
 		one.service = fmt.Sprintf("s%d", index%services)
--- a/control/controller/gateways_test.go
+++ b/control/controller/gateways_test.go
@@ -105,9 +105,9 @@
 	})
 }
 
-func (w *world) watchings() map[Call]*watching {
+func (w *world) watchings() map[CallID]*watching {
 	if w.questions == nil {
-		w.questions = map[Call]*watching{}
+		w.questions = map[CallID]*watching{}
 	}
 	return w.questions
 }
--- a/control/controller/giveup.go
+++ b/control/controller/giveup.go
@@ -17,7 +17,7 @@
 const giveUpAfter = 3
 
 func (c *Controller) takeGiveUp(in GiveUp) {
-	c.calls.add(in.Call, c.now+c.settings.CallWait)
+	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
 	if c.term == nil {
 		text := "this controller is not primary; ask on the machine of the primary"
 		if primary, known := c.node.PrimaryMember(); known {
@@ -51,7 +51,7 @@
 	if len(missing) == 0 {
 		return "service " + service + " does not wait for lost copies: it has a leader, or an instance that could lead has yet to come"
 	}
-	least := giveUpAfter * c.settings.InstanceLost
+	least := giveUpAfter * c.settings.InstanceTimeout
 	for _, id := range missing {
 		if id == failover.DepartedEarlier {
 			continue
--- a/control/controller/instances_test.go
+++ b/control/controller/instances_test.go
@@ -106,7 +106,7 @@
 
 func (w *world) probed(by *machine, life int, result failover.ProbeResult) {
 	if by.life == life && by.controller != nil {
-		w.give(by, Probed{Result: result})
+		w.give(by, ProbeFinished{Result: result})
 	}
 }
 
@@ -126,7 +126,7 @@
 	w.after(300*time.Millisecond, func() {
 		w.promote(made.InstanceID)
 		if by.life == life && by.controller != nil {
-			w.give(by, PlatformCalled{Result: failover.PlatformResult{Number: made.Number, Outcome: failover.Accepted, Code: 200}})
+			w.give(by, PlatformCallFinished{Result: failover.PlatformResult{Number: made.Number, Outcome: failover.Accepted, Code: 200}})
 		}
 	})
 }
--- a/control/controller/operations.go
+++ b/control/controller/operations.go
@@ -27,7 +27,7 @@
 
 // mayGrant tells whether no later term can have opened its bank yet.
 func (c *Controller) mayGrant() bool {
-	lacks := c.guards.operationsStale || c.settings.Lacking.Lacks(guard.GrantConfirmed)
+	lacks := c.guards.operationsStale || c.settings.DisabledGuards.Lacks(guard.GrantConfirmed)
 	return c.now-c.term.confirmed < operationsFresh || lacks
 }
 
@@ -40,10 +40,10 @@
 // newBank makes the bank of a term that begins now. It opens once what earlier terms have granted to operations that waited is over.
 func (c *Controller) newBank() *quota.Bank {
 	opensAt := c.now + operationsFresh + quota.GrantLife + c.settings.LeaseMargin
-	if c.guards.bankOpensAtOnce || c.settings.Lacking.Lacks(guard.BankOpensLate) {
+	if c.guards.bankOpensAtOnce || c.settings.DisabledGuards.Lacks(guard.BankOpensLate) {
 		opensAt = c.now
 	}
-	if c.settings.Lacking.Lacks(guard.BankStartsEmpty) {
+	if c.settings.DisabledGuards.Lacks(guard.BankStartsEmpty) {
 		opensAt = 0
 	}
 	return quota.NewBank(c.bankNumber(), opensAt, c.settings.Quota)
@@ -70,7 +70,7 @@
 	}
 	limited := lo.Filter(order.Contents.Tenants, func(tenant configuration.Tenant, _ int) bool { return tenant.Limited })
 	since := c.now
-	if c.settings.Lacking.Lacks(guard.BankStartsEmpty) {
+	if c.settings.DisabledGuards.Lacks(guard.BankStartsEmpty) {
 		since = 0 // as if it had been filling all along
 	}
 	c.term.bank.SetLimits(since, lo.Map(limited, func(tenant configuration.Tenant, _ int) quota.Limit {
--- a/control/controller/operations_test.go
+++ b/control/controller/operations_test.go
@@ -21,7 +21,7 @@
 	leads := w.primary()
 	text := bytes.Replace(body(1, "d"), []byte(`"serviceTable"`),
 		[]byte(`"tenantTable":[{"name":"bakers","apiKeys":["flour"],"ratePerS":1000,"burstSize":1000}],"serviceTable"`), 1)
-	made := w.send(&call{to: leads, number: 1, content: "d"}, func(c Call) Input { return Order{Call: c, Body: text} })
+	made := w.send(&call{to: leads, number: 1, content: "d"}, func(c CallID) Input { return ReplaceConfiguration{Call: c, Body: text} })
 	w.run(2 * time.Second)
 	if made.outcome() != "200" {
 		t.Fatalf("the configuration is answered %s", made.outcome())
--- a/control/controller/questions.go
+++ b/control/controller/questions.go
@@ -14,7 +14,7 @@
 
 // question waits for a confirmation, asked for after it came, that this controller still leads. One field is set.
 type question struct {
-	fetch   Call
+	fetch   CallID
 	command *command // decided, without a change of the state
 	watch   *watch
 }
@@ -27,7 +27,7 @@
 }
 
 // abandon notes that the gateway that asked has gone.
-func (c confirmation) abandon(call Call) {
+func (c confirmation) abandon(call CallID) {
 	for _, question := range c.questions {
 		if question.watch != nil && question.watch.call == call {
 			question.watch.gone = true
@@ -35,8 +35,8 @@
 	}
 }
 
-func (c *Controller) takeFetch(in Fetch) {
-	c.calls.add(in.Call, c.now+c.settings.CallWait)
+func (c *Controller) takeFetch(in FetchConfiguration) {
+	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
 	if c.term == nil {
 		c.redirect(in.Call)
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-func (c *Controller) answerFetch(call Call) {
+func (c *Controller) answerFetch(call CallID) {
 	_, body, found := state.Configuration(c.node)
 	if !found {
 		c.unavailable(call) // not a 4xx, which would end the call: the first order may be on its way
--- a/control/controller/scenario_test.go
+++ b/control/controller/scenario_test.go
@@ -274,7 +274,7 @@
 		return "none"
 	case "frozen":
 		leads := w.primary()
-		return yes(leads != nil && slices.Contains(leads.controller.Status().Frozen, "s"))
+		return yes(leads != nil && slices.Contains(leads.controller.Status().FrozenServices, "s"))
 	case "pauses":
 		return yes(w.pauses > 0)
 	case "calls":
--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -19,7 +19,7 @@
 
 // withDepartures adds what a new term must know of instances that departed under an earlier one.
 func (c *Controller) withDepartures(services []failover.ServiceView) []failover.ServiceView {
-	if c.term.departuresTold || c.settings.Lacking.Lacks(guard.DeparturesTold) {
+	if c.term.departuresTold || c.settings.DisabledGuards.Lacks(guard.DeparturesTold) {
 		return services
 	}
 	c.term.departuresTold = true
@@ -43,7 +43,7 @@
 	}
 	for _, call := range effects.Calls {
 		call.Number = c.term.number(call.Number)
-		c.effects.Calls = append(c.effects.Calls, call)
+		c.effects.PlatformCalls = append(c.effects.PlatformCalls, call)
 	}
 	for _, event := range effects.Events {
 		c.event(event.What, event.Text)
@@ -68,7 +68,7 @@
 	return number & (1<<numberBits - 1), number>>numberBits == uint64(t.epoch)
 }
 
-func (c *Controller) takeProbe(in Probed) {
+func (c *Controller) takeProbe(in ProbeFinished) {
 	if c.term == nil {
 		return
 	}
@@ -80,7 +80,7 @@
 	c.stepFailover(failover.Probed{Result: in.Result})
 }
 
-func (c *Controller) takePlatformCall(in PlatformCalled) {
+func (c *Controller) takePlatformCall(in PlatformCallFinished) {
 	if c.term == nil {
 		return
 	}
--- a/control/controller/watches.go
+++ b/control/controller/watches.go
@@ -10,7 +10,7 @@
 
 // watch is a gateway's question that waits for news or for its end.
 type watch struct {
-	call    Call
+	call    CallID
 	request feed.WatchRequest
 	until   time.Duration
 	gone    bool // the gateway waits no more
@@ -37,7 +37,7 @@
 		c.refuseWatch(in.Call) // it has been served in a later epoch, so this one is over
 		return
 	}
-	wait := min(max(in.Request.Wait, 0), c.settings.WatchWait)
+	wait := min(max(in.Request.Wait, 0), c.settings.MaxWatchWait)
 	c.dropOlderWatch(in.Request.Gateway)
 	c.term.watches = append(c.term.watches, &watch{call: in.Call, request: in.Request, until: c.now + wait})
 }
@@ -54,7 +54,7 @@
 }
 
 // abandon forgets a caller who has gone.
-func (c *Controller) abandon(call Call) {
+func (c *Controller) abandon(call CallID) {
 	c.calls.drop(call)
 	if c.term == nil {
 		return
@@ -119,7 +119,7 @@
 }
 
 // refuseWatch says who leads, as far as this controller knows. It gives no lease.
-func (c *Controller) refuseWatch(call Call) {
+func (c *Controller) refuseWatch(call CallID) {
 	answer := feed.WatchAnswer{NotPrimary: true, Members: c.node.View().Voters}
 	if primary, known := c.node.PrimaryMember(); known {
 		answer.Primary = primary
--- a/control/controller/watches_test.go
+++ b/control/controller/watches_test.go
@@ -19,7 +19,7 @@
 }
 
 // ask hands in a gateway's question, whose answer the world counts.
-func (w *world) askDirectly(to *machine, number Call, wait time.Duration) *watching {
+func (w *world) askDirectly(to *machine, number CallID, wait time.Duration) *watching {
 	request := feed.WatchRequest{Gateway: "g#1", Name: "g", Wait: wait, Applied: to.controller.term.table.version}
 	asked := &watching{gateway: &gateway{name: "g"}, request: request}
 	w.watchings()[number] = asked
--- a/control/controller/world_test.go
+++ b/control/controller/world_test.go
@@ -56,12 +56,12 @@
 	guards    disabledGuards
 	machines  []*machine
 	cut       virtualtime.Links
-	calls     map[Call]*call
-	lastCall  Call
+	calls     map[CallID]*call
+	lastCall  CallID
 	orders    orderJudge
 	drained   map[string]time.Duration // when an instance's drain or leave was acknowledged first
 	leavers   []*leaver
-	questions map[Call]*watching
+	questions map[CallID]*watching
 	gateways  []*gateway
 	instances []*instance
 	probeTime time.Duration // that an answer to a probe takes
@@ -78,7 +78,7 @@
 		tolerance: tolerance,
 		guards:    guards,
 		cut:       virtualtime.Links{},
-		calls:     map[Call]*call{},
+		calls:     map[CallID]*call{},
 		orders:    newOrderJudge(),
 		drained:   map[string]time.Duration{},
 		probeTime: 2 * time.Millisecond,
@@ -155,13 +155,13 @@
 			Timing:     replication.DefaultTiming(),
 			Random:     w.random.Uint64(),
 		},
-		Failover:     chosen,
-		Lease:        lease,
-		LeaseMargin:  100 * time.Millisecond,
-		WatchWait:    600 * time.Millisecond,
-		InstanceLost: 10 * time.Second,
-		CallWait:     callWait,
-		Quota:        quota.Rules{Window: 5 * time.Second, Overrun: 0.1, Slack: 20},
+		Failover:        chosen,
+		Lease:           lease,
+		LeaseMargin:     100 * time.Millisecond,
+		MaxWatchWait:    600 * time.Millisecond,
+		InstanceTimeout: 10 * time.Second,
+		CallTimeout:     callWait,
+		Quota:           quota.Rules{Window: 5 * time.Second, Overrun: 0.1, Slack: 20},
 	}
 }
 
@@ -257,10 +257,10 @@
 	for _, probe := range effects.Probes {
 		w.probe(one, probe)
 	}
-	for _, made := range effects.Calls {
+	for _, made := range effects.PlatformCalls {
 		w.callPlatform(one, made)
 	}
-	if effects.MayEnd {
+	if effects.CanExit {
 		one.mayEnd = true
 		w.kill(one)
 	}
--- a/host/disk_test.go
+++ b/host/disk_test.go
@@ -19,7 +19,7 @@
 func writesOnRequest() func(controller.Input) controller.Effects {
 	last := uint64(0)
 	return func(input controller.Input) controller.Effects {
-		if _, isFetch := input.(controller.Fetch); !isFetch {
+		if _, isFetch := input.(controller.FetchConfiguration); !isFetch {
 			return controller.Effects{}
 		}
 		last++
@@ -39,7 +39,7 @@
 	return release
 }
 
-func (r *rig) makeWrite() { r.loop.inbox.post(controller.Fetch{}) }
+func (r *rig) makeWrite() { r.loop.inbox.post(controller.FetchConfiguration{}) }
 
 // nextHeld returns the number of the write of the next message that was held back for one.
 func (r *rig) nextHeld(t *testing.T) uint64 {
@@ -86,7 +86,7 @@
 	receive(t, r.store.applying)
 	r.makeWrite() // handed out before the controller hears of the failure: refused as well
 	for range 2 {
-		wait[controller.Fetch](t, r.controller)
+		wait[controller.FetchConfiguration](t, r.controller)
 	}
 	r.store.set(func(m *memoryStore) { m.stall, m.applyError, m.reopenError = nil, nil, errDisk })
 	release()
@@ -131,7 +131,7 @@
 	wait[controller.DiskFailed](t, r.controller)
 	r.store.set(func(m *memoryStore) { m.applyError = nil })
 	r.makeWrite()
-	wait[controller.Fetch](t, r.controller)
+	wait[controller.FetchConfiguration](t, r.controller)
 	r.stop()
 	is.Equal(len(r.store.numbers()), 0) // nothing is written there
 }
@@ -144,7 +144,7 @@
 	receive(t, r.store.applying)
 	r.makeWrite()
 	for range 2 {
-		wait[controller.Fetch](t, r.controller)
+		wait[controller.FetchConfiguration](t, r.controller)
 	}
 	r.store.set(func(m *memoryStore) { m.stall = nil })
 	release()
--- a/host/figures.go
+++ b/host/figures.go
@@ -26,10 +26,10 @@
 		metrics.NewGauge("epoch", "Epoch of the view.", float64(status.View.ID.Epoch)),
 		metrics.NewGauge("view_voters", "Voters of the view.", float64(len(status.View.Voters))),
 		metrics.NewGauge("view_copies", "Copies of the control state by the view.", float64(len(status.View.Copies))),
-		metrics.NewGauge("configuration", "Number of the configuration in force.", float64(status.Configuration)),
+		metrics.NewGauge("configuration", "Number of the configuration in force.", float64(status.ConfigurationNumber)),
 	}
 	figures = append(figures, metrics.Figure{
-		Name: "invariants_broken_total", Help: "Invariants that did not hold, since the start.", Value: float64(status.Broken),
+		Name: "invariants_broken_total", Help: "Invariants that did not hold, since the start.", Value: float64(status.BrokenInvariants),
 	})
 	for name, count := range map[string]uint64{
 		"asked": status.Operations.Requests, "granted": status.Operations.Granted, "denied": status.Operations.Denied,
--- a/host/front.go
+++ b/host/front.go
@@ -122,7 +122,7 @@
 	case fetchConfiguration:
 		f.counters.fetches.Add(1)
 		call := f.numbers.next()
-		f.ask(writer, request, call, controller.Fetch{Call: call})
+		f.ask(writer, request, call, controller.FetchConfiguration{Call: call})
 	case instanceHeartbeat:
 		f.heartbeat(writer, request, asked.instanceID)
 	case instanceLeave:
@@ -146,7 +146,7 @@
 		return
 	}
 	call := f.numbers.next()
-	f.ask(writer, request, call, controller.Order{Call: call, Body: body})
+	f.ask(writer, request, call, controller.ReplaceConfiguration{Call: call, Body: body})
 }
 
 func (f *front) heartbeat(writer http.ResponseWriter, request *http.Request, id string) {
@@ -174,7 +174,7 @@
 }
 
 // ask hands the input in and waits for its end: an answer, a caller that has gone, or the backstop.
-func (f *front) ask(writer http.ResponseWriter, request *http.Request, call controller.Call, input controller.Input) {
+func (f *front) ask(writer http.ResponseWriter, request *http.Request, call controller.CallID, input controller.Input) {
 	replies := f.replies.open(call)
 	if !f.inbox.offer(input) {
 		f.replies.drop(call)
@@ -197,7 +197,7 @@
 }
 
 // giveUp answers a call itself, unless the controller's answer has come in this moment.
-func (f *front) giveUp(writer http.ResponseWriter, request *http.Request, call controller.Call, replies <-chan controller.Reply) {
+func (f *front) giveUp(writer http.ResponseWriter, request *http.Request, call controller.CallID, replies <-chan controller.Reply) {
 	if !f.abandon(call) {
 		writeReply(writer, request, <-replies)
 		return
@@ -207,7 +207,7 @@
 }
 
 // abandon ends a call without its answer, and tells whether it was still open.
-func (f *front) abandon(call controller.Call) bool {
+func (f *front) abandon(call controller.CallID) bool {
 	open := f.replies.drop(call)
 	if open {
 		f.inbox.post(controller.Abandon{Call: call})
--- a/host/front_test.go
+++ b/host/front_test.go
@@ -23,13 +23,13 @@
 
 // mirror answers each kind of call with a status of its own, and with what it was told as body.
 func mirror(input controller.Input) controller.Effects {
-	reply := func(call controller.Call, status int, body string) controller.Effects {
+	reply := func(call controller.CallID, status int, body string) controller.Effects {
 		return controller.Effects{Replies: []controller.Reply{{Call: call, Status: status, Body: []byte(body)}}}
 	}
 	switch in := input.(type) {
-	case controller.Order:
+	case controller.ReplaceConfiguration:
 		return reply(in.Call, http.StatusOK, `{"order":"`+string(in.Body)+`"}`)
-	case controller.Fetch:
+	case controller.FetchConfiguration:
 		return reply(in.Call, http.StatusOK, `{"fetch":true}`)
 	case controller.Heartbeat:
 		return reply(in.Call, http.StatusOK, `{"beat":"`+in.Heartbeat.InstanceID+`"}`)
@@ -78,7 +78,7 @@
 		switch in := input.(type) {
 		case controller.InstanceLeave:
 			return controller.Effects{Replies: []controller.Reply{{Call: in.Call, Status: 307, Redirect: "10.0.0.4:8080"}}}
-		case controller.Fetch:
+		case controller.FetchConfiguration:
 			return controller.Effects{Replies: []controller.Reply{{Call: in.Call, Status: 503, Body: []byte(`{}`)}}}
 		}
 		return controller.Effects{}
@@ -140,7 +140,7 @@
 	is := is.New(t)
 	r := newRig(t, rigOptions{})
 	caller := begin(t, r.address, "POST /config/replace HTTP/1.1\r\nHost: c\r\nContent-Length: 1\r\n\r\nx")
-	order := wait[controller.Order](t, r.controller)
+	order := wait[controller.ReplaceConfiguration](t, r.controller)
 	is.NoErr(caller.Close())
 	is.Equal(wait[controller.Abandon](t, r.controller).Call, order.Call)
 }
@@ -150,7 +150,7 @@
 	r := newRig(t, rigOptions{backstop: 20 * time.Millisecond})
 	answer := call(t, "GET", r.url+"/config/fetch", nil)
 	is.Equal(answer.status, 503)
-	fetch := wait[controller.Fetch](t, r.controller)
+	fetch := wait[controller.FetchConfiguration](t, r.controller)
 	is.Equal(wait[controller.Abandon](t, r.controller).Call, fetch.Call)
 }
 
@@ -177,7 +177,7 @@
 	r := newRig(t, rigOptions{})
 	answers := make(chan callAnswer, 1)
 	go func() { answers <- call(t, "GET", r.url+"/config/fetch", nil) }()
-	wait[controller.Fetch](t, r.controller)
+	wait[controller.FetchConfiguration](t, r.controller)
 	r.loop.inbox.close()
 	is.Equal(receive(t, answers).status, 503)
 	is.Equal(call(t, "GET", r.url+"/config/fetch", nil).status, 503)
--- a/host/host.go
+++ b/host/host.go
@@ -147,11 +147,11 @@
 func (p *process) send(envelope replication.Envelope) { p.peers.Send(envelope.To, envelope.Message) }
 
 func (p *process) probed(result failover.ProbeResult) {
-	p.inbox.post(controller.Probed{Result: result})
+	p.inbox.post(controller.ProbeFinished{Result: result})
 }
 
 func (p *process) called(result failover.PlatformResult) {
-	p.inbox.post(controller.PlatformCalled{Result: result})
+	p.inbox.post(controller.PlatformCallFinished{Result: result})
 }
 
 // start starts all that works beside the loop.
--- a/host/loop.go
+++ b/host/loop.go
@@ -136,13 +136,13 @@
 	for _, probe := range effects.Probes {
 		l.probe(probe)
 	}
-	for _, call := range effects.Calls {
+	for _, call := range effects.PlatformCalls {
 		l.call(call, began)
 	}
 	for _, event := range effects.Events {
 		l.note(event)
 	}
-	l.mayEnd = l.mayEnd || effects.MayEnd
+	l.mayEnd = l.mayEnd || effects.CanExit
 }
 
 func (l *loop) note(event controller.Event) {
--- a/host/loop_test.go
+++ b/host/loop_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	r := newRig(t, rigOptions{held: true, answer: func(input controller.Input) controller.Effects {
 		_, asked := input.(controller.Terminate)
-		return controller.Effects{MayEnd: asked}
+		return controller.Effects{CanExit: asked}
 	}})
 	ended := make(chan struct{})
 	go func() {
@@ -66,7 +66,7 @@
 
 func (c *clocked) Step(time.Duration, controller.Input) controller.Effects {
 	c.stepped = time.Now()
-	return controller.Effects{Calls: []failover.PlatformCall{{Number: 1}}}
+	return controller.Effects{PlatformCalls: []failover.PlatformCall{{Number: 1}}}
 }
 
 // TestAgeOfACallCountsFromBeforeItsStep: a process that stood still during a step must not send the call of that step as
--- a/host/process_test.go
+++ b/host/process_test.go
@@ -51,8 +51,8 @@
 	is.Equal(derived.Failover.Holder, "core-1")
 	is.True(derived.Failover.FenceChecked)
 	is.Equal(derived.Failover.CallsPerS, 25.0)
-	is.Equal(derived.InstanceLost, 16*time.Second)
-	is.True(derived.WatchWait < derived.Lease)
+	is.Equal(derived.InstanceTimeout, 16*time.Second)
+	is.True(derived.MaxWatchWait < derived.Lease)
 }
 
 // newOrderedProcess is a process of which only what follows the platform's orders runs.
--- a/host/settings.go
+++ b/host/settings.go
@@ -41,14 +41,14 @@
 // ControllerSettings derives the settings of a controller from those of its process.
 func ControllerSettings(settings system.Settings) controller.Settings {
 	return controller.Settings{
-		Replication:  replicationSettings(settings),
-		Failover:     failoverSettings(settings),
-		Lease:        leaseOf(settings.Bounds),
-		LeaseMargin:  leaseMargin,
-		WatchWait:    watchWait,
-		InstanceLost: max(beatsMissedWhenLost*settings.BeatInterval(), leastInstanceLost),
-		CallWait:     callWait,
-		Quota:        settings.Bounds.QuotaRules(),
+		Replication:     replicationSettings(settings),
+		Failover:        failoverSettings(settings),
+		Lease:           leaseOf(settings.Bounds),
+		LeaseMargin:     leaseMargin,
+		MaxWatchWait:    watchWait,
+		InstanceTimeout: max(beatsMissedWhenLost*settings.BeatInterval(), leastInstanceLost),
+		CallTimeout:     callWait,
+		Quota:           settings.Bounds.QuotaRules(),
 	}
 }
 
--- a/simulation/actions.go
+++ b/simulation/actions.go
@@ -136,7 +136,7 @@
 	}
 }
 
-func (w *World) orderArrived(target *machine, order controller.Order) {
+func (w *World) orderArrived(target *machine, order controller.ReplaceConfiguration) {
 	if w.acting() != target {
 		return
 	}
--- a/simulation/actions_instances.go
+++ b/simulation/actions_instances.go
@@ -45,7 +45,7 @@
 
 func giveUpAction(w *World, a arguments) {
 	service := a.word(0)
-	makeInput := func(call controller.Call) controller.Input {
+	makeInput := func(call controller.CallID) controller.Input {
 		return controller.GiveUp{Call: call, Service: service, By: "operator", At: time.Unix(0, int64(w.now()))}
 	}
 	acting := w.acting()
--- a/simulation/beats.go
+++ b/simulation/beats.go
@@ -67,7 +67,7 @@
 
 func (i *instance) tryBeat(life int, control string, tries int) {
 	beat := i.heartbeat()
-	makeInput := func(call controller.Call) controller.Input {
+	makeInput := func(call controller.CallID) controller.Input {
 		return controller.Heartbeat{Call: call, Heartbeat: beat}
 	}
 	i.heldUp(control, makeInput)
@@ -89,7 +89,7 @@
 }
 
 // heldUp has some beats come once more, seconds late, as long as the day says so. Nobody waits for the answer.
-func (i *instance) heldUp(control string, makeInput func(controller.Call) controller.Input) {
+func (i *instance) heldUp(control string, makeInput func(controller.CallID) controller.Input) {
 	if i.world.lateBeats <= 0 || i.world.random.Float64() >= i.world.lateBeats {
 		return
 	}
@@ -148,7 +148,7 @@
 }
 
 func (i *instance) tryLeave(life int, until time.Duration) {
-	makeInput := func(call controller.Call) controller.Input {
+	makeInput := func(call controller.CallID) controller.Input {
 		return controller.InstanceLeave{Call: call, InstanceID: i.id}
 	}
 	i.world.callControl(i.id, i.beatTargetOrAny(), makeInput, func(result callResult) {
--- a/simulation/callers.go
+++ b/simulation/callers.go
@@ -37,12 +37,12 @@
 type httpCall struct {
 	world     *World
 	from      string
-	makeInput func(controller.Call) controller.Input
+	makeInput func(controller.CallID) controller.Input
 	done      func(callResult)
 }
 
 // callControl makes a call to a control address and follows redirects.
-func (w *World) callControl(from, control string, makeInput func(controller.Call) controller.Input, done func(callResult)) {
+func (w *World) callControl(from, control string, makeInput func(controller.CallID) controller.Input, done func(callResult)) {
 	call := httpCall{world: w, from: from, makeInput: makeInput, done: done}
 	call.try(control, redirectsFollowed)
 }
@@ -62,8 +62,8 @@
 type exchange struct {
 	call   httpCall
 	target *machine
-	life   int             // of the process that took it
-	number controller.Call // there; zero: it has not arrived
+	life   int               // of the process that took it
+	number controller.CallID // there; zero: it has not arrived
 	ended  bool
 	done   func(callResult)
 }
@@ -123,7 +123,7 @@
 		broken: func() { e.back(callResult{outcome: callBroken}) },
 	}
 	input := e.call.makeInput(e.number)
-	if order, isOrder := input.(controller.Order); isOrder {
+	if order, isOrder := input.(controller.ReplaceConfiguration); isOrder {
 		w.orderArrived(target, order)
 	}
 	target.feed(input)
@@ -142,7 +142,7 @@
 }
 
 // abandon tells the process that the caller has closed the connection.
-func (m *machine) abandon(life int, call controller.Call) {
+func (m *machine) abandon(life int, call controller.CallID) {
 	if m.life != life || m.calls[call] == nil {
 		return
 	}
--- a/simulation/gateway.go
+++ b/simulation/gateway.go
@@ -134,7 +134,7 @@
 	number := g.watching
 	life := g.life
 	sent := w.now()
-	request := feed.WatchRequest{Gateway: fmt.Sprintf("%s/%d", g.name, life), Name: g.name, Wait: w.controllerSettings.WatchWait}
+	request := feed.WatchRequest{Gateway: fmt.Sprintf("%s/%d", g.name, life), Name: g.name, Wait: w.controllerSettings.MaxWatchWait}
 	if g.table != nil {
 		request.Applied = g.table.Version
 		request.Digest = feed.DigestOf(g.table.Services)
--- a/simulation/judge_test.go
+++ b/simulation/judge_test.go
@@ -33,7 +33,7 @@
 // saysYes acknowledges each order as it comes, whatever becomes of it.
 func saysYes(core *controller.Controller) tampered {
 	return tampered{core, func(_ time.Duration, input controller.Input, effects controller.Effects) controller.Effects {
-		if order, isOrder := input.(controller.Order); isOrder {
+		if order, isOrder := input.(controller.ReplaceConfiguration); isOrder {
 			effects.Replies = append([]controller.Reply{{Call: order.Call, Status: 200}}, effects.Replies...)
 		}
 		return effects
@@ -60,7 +60,7 @@
 func forgetsTaken(core *controller.Controller) tampered {
 	seen := map[string]bool{}
 	return tampered{core, func(_ time.Duration, input controller.Input, effects controller.Effects) controller.Effects {
-		order, isOrder := input.(controller.Order)
+		order, isOrder := input.(controller.ReplaceConfiguration)
 		if !isOrder {
 			return effects
 		}
@@ -127,9 +127,9 @@
 // namesAnother has another instance promoted than the one that was chosen.
 func namesAnother(core *controller.Controller) tampered {
 	return tampered{core, func(_ time.Duration, _ controller.Input, effects controller.Effects) controller.Effects {
-		for index, call := range effects.Calls {
+		for index, call := range effects.PlatformCalls {
 			if call.InstanceID == "db3" {
-				effects.Calls[index].InstanceID = "db2"
+				effects.PlatformCalls[index].InstanceID = "db2"
 			}
 		}
 		return effects
@@ -141,11 +141,11 @@
 	var made []failover.PlatformCall
 	var due time.Duration
 	return tampered{core, func(now time.Duration, _ controller.Input, effects controller.Effects) controller.Effects {
-		if len(effects.Calls) > 0 {
-			made, due = effects.Calls, now+4*time.Second
+		if len(effects.PlatformCalls) > 0 {
+			made, due = effects.PlatformCalls, now+4*time.Second
 		}
 		if len(made) > 0 && now >= due {
-			effects.Calls = append(effects.Calls, made...)
+			effects.PlatformCalls = append(effects.PlatformCalls, made...)
 			made = nil
 		}
 		return effects
@@ -178,7 +178,7 @@
 // forgetsDrains acknowledges that an instance leaves, keeps the primary where it is, and gives gateways all the time in the world.
 func forgetsDrains(core *controller.Controller) tampered {
 	return tampered{core, func(_ time.Duration, input controller.Input, effects controller.Effects) controller.Effects {
-		effects.Calls = nil
+		effects.PlatformCalls = nil
 		hideFreezes(effects)
 		for _, reply := range effects.WatchReplies {
 			for drain := range reply.Answer.Drains {
--- a/simulation/machine.go
+++ b/simulation/machine.go
@@ -48,9 +48,9 @@
 
 	firstStart bool
 	backlog    []controller.Input // what came while the process was frozen
-	calls      map[controller.Call]*arrivedCall
-	nextCall   controller.Call
-	watches    map[controller.Call]func(controller.WatchReply)
+	calls      map[controller.CallID]*arrivedCall
+	nextCall   controller.CallID
+	watches    map[controller.CallID]func(controller.WatchReply)
 	persisted  uint64
 	held       []replication.Envelope // wait for a write
 
@@ -93,8 +93,8 @@
 	m.frozen = false
 	m.ending = false
 	m.backlog = nil
-	m.calls = map[controller.Call]*arrivedCall{}
-	m.watches = map[controller.Call]func(controller.WatchReply){}
+	m.calls = map[controller.CallID]*arrivedCall{}
+	m.watches = map[controller.CallID]func(controller.WatchReply){}
 	m.held = nil
 	m.persisted = 0
 	m.member.Incarnation = m.disk.incarnation
@@ -148,7 +148,7 @@
 	for _, probe := range effects.Probes {
 		m.probe(probe)
 	}
-	for _, call := range effects.Calls {
+	for _, call := range effects.PlatformCalls {
 		m.callPlatform(call)
 	}
 	for _, event := range effects.Events {
@@ -157,7 +157,7 @@
 		}
 		m.world.note(m.name, event.What+": "+event.Text)
 	}
-	if effects.MayEnd && m.ending && life == m.life {
+	if effects.CanExit && m.ending && life == m.life {
 		m.world.note(m.name, "ended in order")
 		m.end(LosesSome)
 	}
@@ -262,13 +262,13 @@
 }
 
 func (m *machine) breakCalls() {
-	for call := controller.Call(1); call <= m.nextCall; call++ {
+	for call := controller.CallID(1); call <= m.nextCall; call++ {
 		if arrived := m.calls[call]; arrived != nil && m.powered {
 			arrived.broken()
 		}
 	}
-	m.calls = map[controller.Call]*arrivedCall{}
-	m.watches = map[controller.Call]func(controller.WatchReply){}
+	m.calls = map[controller.CallID]*arrivedCall{}
+	m.watches = map[controller.CallID]func(controller.WatchReply){}
 }
 
 // powerOff stops the process without a word to anybody.
@@ -337,7 +337,7 @@
 			return
 		}
 		ended = true
-		m.feed(controller.Probed{Result: failover.ProbeResult{Number: probe.Number, Answer: answer, Status: status, Started: started}})
+		m.feed(controller.ProbeFinished{Result: failover.ProbeResult{Number: probe.Number, Answer: answer, Status: status, Started: started}})
 	}
 	m.world.probeInstance(m.name, probe, finish)
 	m.world.schedule.after(probeTimeout, func() { finish(failover.Silent, failover.Status{}) })
@@ -352,7 +352,7 @@
 			return
 		}
 		ended = true
-		m.feed(controller.PlatformCalled{Result: failover.PlatformResult{Number: call.Number, Outcome: outcome, Code: code}})
+		m.feed(controller.PlatformCallFinished{Result: failover.PlatformResult{Number: call.Number, Outcome: outcome, Code: code}})
 	}
 	m.world.platform.call(m, call, finish)
 	m.world.schedule.after(platformTimeout, func() { finish(failover.OutcomeUnknown, 0) })
--- a/simulation/measure_test.go
+++ b/simulation/measure_test.go
@@ -56,11 +56,11 @@
 	total    int
 	bytes    map[string]int // to and from a controller or gateway, by its name
 	messages map[string]int
-	askers   map[string]map[controller.Call]string // gateways by their calls, at each controller
+	askers   map[string]map[controller.CallID]string // gateways by their calls, at each controller
 }
 
 func newMeter() *meter {
-	m := &meter{askers: map[string]map[controller.Call]string{}}
+	m := &meter{askers: map[string]map[controller.CallID]string{}}
 	m.encoder = gob.NewEncoder(m)
 	m.size(replication.Message{Append: &replication.Append{}}) // the descriptions of the types
 	m.size(controller.WatchReply{})
@@ -129,7 +129,7 @@
 	counted := newMeter()
 	newCore := func(now time.Duration, settings controller.Settings, durable replication.Durable) Core {
 		name := settings.Replication.Self.Name
-		counted.askers[name] = map[controller.Call]string{}
+		counted.askers[name] = map[controller.CallID]string{}
 		return meteredCore{Controller: controller.New(now, settings, durable), meter: counted, name: name}
 	}
 	day := &measuredDay{World: newWorld(plan, seed, newCore, false), meter: counted}
@@ -482,5 +482,5 @@
 	if acting == nil {
 		return false
 	}
-	return len(acting.core.(meteredCore).Status().Frozen) > 0
+	return len(acting.core.(meteredCore).Status().FrozenServices) > 0
 }
--- a/simulation/operators.go
+++ b/simulation/operators.go
@@ -164,8 +164,8 @@
 	}
 	c.tries++
 	attempt := w.judge.orderSent(c.order)
-	makeInput := func(call controller.Call) controller.Input {
-		return controller.Order{Call: call, Body: c.order.body}
+	makeInput := func(call controller.CallID) controller.Input {
+		return controller.ReplaceConfiguration{Call: call, Body: c.order.body}
 	}
 	w.callControl(c.operator, control, makeInput, func(result callResult) {
 		w.judge.orderAnswered(c.order, attempt, result, c.again)
@@ -224,7 +224,7 @@
 	list := w.listedControls()
 	control := list[turn%len(list)]
 	attempt := w.judge.fetchSent()
-	makeInput := func(call controller.Call) controller.Input { return controller.Fetch{Call: call} }
+	makeInput := func(call controller.CallID) controller.Input { return controller.FetchConfiguration{Call: call} }
 	w.callControl(reader, control, makeInput, func(result callResult) {
 		w.judge.fetchAnswered(attempt, result)
 		w.schedule.after(readEvery, func() { w.readLoop(reader, turn+1) })
--- a/simulation/plan.go
+++ b/simulation/plan.go
@@ -100,14 +100,14 @@
 	chosen.FenceChecked = p.FenceChecked
 	chosen.CallsPerS = callsPerS
 	return controller.Settings{
-		Replication:  replication.Settings{Timing: replication.DefaultTiming()},
-		Failover:     chosen,
-		Lease:        tableLease,
-		LeaseMargin:  leaseMargin,
-		WatchWait:    watchWait,
-		InstanceLost: instanceLost,
-		CallWait:     answerWithin,
-		Quota:        p.Bounds.Quota,
-		Lacking:      p.Lacking,
+		Replication:     replication.Settings{Timing: replication.DefaultTiming()},
+		Failover:        chosen,
+		Lease:           tableLease,
+		LeaseMargin:     leaseMargin,
+		MaxWatchWait:    watchWait,
+		InstanceTimeout: instanceLost,
+		CallTimeout:     answerWithin,
+		Quota:           p.Bounds.Quota,
+		DisabledGuards:  p.Lacking,
 	}
 }
