--- a/control/controller/api.go
+++ b/control/controller/api.go
@@ -11,20 +11,20 @@
 	"eiderway/control/replication"
 )
 
-// CallID numbers a question of a caller, as handed out by the host. Each is answered exactly once.
+// CallID identifies a caller's request. The host assigns it; each call is answered exactly once.
 type CallID uint64
 
-// Input is one thing that happens to a controller.
+// Input is an event that the host passes to a controller.
 type Input interface{ input() }
 
 type (
-	// Tick lets time pass: every 20 to 50 ms.
+	// Tick advances time; the host sends one every 20 to 50 ms.
 	Tick struct{}
-	// PeerMessage came from another controller.
+	// PeerMessage is a message from another controller.
 	PeerMessage struct{ Message replication.Message }
-	// Persisted: this write and all before it are safe on disk.
+	// Persisted reports that this write and all earlier ones are durable.
 	Persisted struct{ Write uint64 }
-	// DiskFailed: the disk refused this write and all after it that were handed out so far.
+	// DiskFailed reports that this write failed, and with it all later writes that were handed out so far.
 	DiskFailed struct{ Write uint64 }
 	// ReplaceConfiguration is POST /config/replace.
 	ReplaceConfiguration struct {
@@ -43,27 +43,27 @@
 		Call       CallID
 		InstanceID string
 	}
-	// GiveUp is an operator's word that what the lost copies of a service may have held is given up.
+	// GiveUp is an operator's decision to give up the commits that only the lost copies of a service may hold.
 	GiveUp struct {
 		Call    CallID
 		Service string
 		By      string
-		At      time.Time // by this machine's clock, for the record
+		At      time.Time // wall clock of this machine; kept in the record only
 	}
-	// Watch is a gateway's question.
+	// Watch is a gateway's request for a newer table, a lease or operations of tenants.
 	Watch struct {
 		Call    CallID
 		Request feed.WatchRequest
 	}
-	// Abandon: the caller has gone; no answer is wanted.
+	// Abandon reports that a caller has gone and needs no answer.
 	Abandon struct{ Call CallID }
-	// ProbeFinished ends a probe of an instance.
+	// ProbeFinished is the result of a probe of an instance.
 	ProbeFinished struct{ Result failover.ProbeResult }
-	// PlatformCallFinished ends a call to the platform.
+	// PlatformCallFinished is the result of a call to the platform.
 	PlatformCallFinished struct{ Result failover.PlatformResult }
-	// Terminate: SIGTERM came.
+	// Terminate reports SIGTERM.
 	Terminate struct{}
-	// SeedsChanged: the settings file names other seeds.
+	// SeedsChanged reports that the settings file names other seeds.
 	SeedsChanged struct{ Seeds []string }
 )
 
@@ -83,21 +83,21 @@
 func (Terminate) input()            {}
 func (SeedsChanged) input()         {}
 
-// Reply ends an HTTP call. With Redirect, Location is the control address of the primary: the host appends the path.
+// Reply answers an HTTP call.
 type Reply struct {
 	Call     CallID
 	Status   int
-	Redirect string
+	Redirect string // control address of the primary, "" for none; the host appends the path for the Location header
 	Body     []byte // JSON; nil for none
 }
 
-// WatchReply ends a gateway's question.
+// WatchReply answers a gateway's watch request.
 type WatchReply struct {
 	Call   CallID
 	Answer feed.WatchAnswer
 }
 
-// Event is a change worth a line in the log.
+// Event is a change that the host logs.
 type Event struct{ What, Text string }
 
 // Effects is what the host must do after a step, in this order.
@@ -109,24 +109,24 @@
 	Probes        []failover.Probe
 	PlatformCalls []failover.PlatformCall
 	Events        []Event
-	CanExit       bool // after Terminate: nothing is lost by ending now
+	CanExit       bool // after Terminate: the process can exit without losing anything
 }
 
 // Settings of a controller.
 type Settings struct {
 	Replication     replication.Settings
-	Failover        failover.Settings // Fence is filled in by the controller
-	Lease           time.Duration     // of a table at a gateway
-	LeaseMargin     time.Duration     // waited beyond it: clocks may differ by this much in that time
-	MaxWatchWait    time.Duration     // longest wait of a gateway's question
-	InstanceTimeout time.Duration     // silence after which an instance is taken for lost
-	CallTimeout     time.Duration     // after which a call that can't be settled is answered 503
+	Failover        failover.Settings // the controller sets Fence
+	Lease           time.Duration     // how long a gateway may work by a table after it asked
+	LeaseMargin     time.Duration     // added to Lease when waiting for its end: the most that two clocks drift apart in that time
+	MaxWatchWait    time.Duration     // longest time for which a watch request waits for a newer table
+	InstanceTimeout time.Duration     // an instance is lost after being silent for this long
+	CallTimeout     time.Duration     // a call that can't be decided within this time is answered 503
 	Quota           quota.Rules
-	DisabledGuards  guard.Set // guards that a test takes out
+	DisabledGuards  guard.Set // only set by tests
 }
 
 // In controller.go:
 //
 //	func New(now time.Duration, settings Settings, durable replication.DurableState) *Controller
 //	func (c *Controller) Step(now time.Duration, input Input) Effects
-//	func (c *Controller) Status() Status   for logs and tests
+//	func (c *Controller) Status() Status   for logs, metrics and tests
--- a/control/controller/calls.go
+++ b/control/controller/calls.go
@@ -9,9 +9,9 @@
 	"eiderway/control/quorum"
 )
 
-// openCalls are the HTTP calls that haven't been answered, in the order in which they came.
+// openCalls holds the HTTP calls that haven't been answered, in the order in which they came.
 type openCalls struct {
-	order []openCall
+	queue []openCall // may still hold calls that were answered
 	open  map[CallID]bool
 }
 
@@ -24,10 +24,10 @@
 
 func (o *openCalls) add(call CallID, deadline time.Duration) {
 	o.open[call] = true
-	o.order = append(o.order, openCall{call: call, deadline: deadline})
+	o.queue = append(o.queue, openCall{call: call, deadline: deadline})
 }
 
-// drop forgets a call and tells whether it was open.
+// drop removes a call and tells whether it was open.
 func (o *openCalls) drop(call CallID) bool {
 	wasOpen := o.open[call]
 	delete(o.open, call)
@@ -36,18 +36,18 @@
 
 func (o *openCalls) isOpen(call CallID) bool { return o.open[call] }
 
-func (o *openCalls) empty() bool { return len(o.open) == 0 }
+func (o *openCalls) isEmpty() bool { return len(o.open) == 0 }
 
-// overdue removes calls from the queue whose deadline is past, and returns those that are still open.
-func (o *openCalls) overdue(now time.Duration) []CallID {
-	var late []CallID
-	for len(o.order) > 0 && (o.order[0].deadline <= now || !o.open[o.order[0].call]) {
-		if o.open[o.order[0].call] {
-			late = append(late, o.order[0].call)
+// takeOverdue removes calls whose deadline has passed from the queue, and returns those that are still open.
+func (o *openCalls) takeOverdue(now time.Duration) []CallID {
+	var overdue []CallID
+	for len(o.queue) > 0 && (o.queue[0].deadline <= now || !o.open[o.queue[0].call]) {
+		if o.open[o.queue[0].call] {
+			overdue = append(overdue, o.queue[0].call)
 		}
-		o.order = o.order[1:]
+		o.queue = o.queue[1:]
 	}
-	return late
+	return overdue
 }
 
 // reply answers a call, unless it has been answered or abandoned.
@@ -57,7 +57,7 @@
 	}
 }
 
-// redirect sends a caller to the primary, or away for now if none is known.
+// redirect sends a caller to the primary, or answers 503 if none is known.
 func (c *Controller) redirect(call CallID) {
 	primary, known := c.node.PrimaryMember()
 	if !known || primary.Incarnation == c.self.Incarnation {
@@ -67,12 +67,12 @@
 	c.reply(Reply{Call: call, Status: http.StatusTemporaryRedirect, Redirect: primary.Control})
 }
 
-// unavailable answers that this controller can't settle the call now; the outcome of a change is not known.
+// unavailable answers that this controller can't decide the call now. A change that the call asked for may still take effect.
 func (c *Controller) unavailable(call CallID) {
 	c.reply(Reply{Call: call, Status: http.StatusServiceUnavailable, Body: errorBody("not settled here; ask again")})
 }
 
-// errorText is the JSON body of an answer that isn't a success.
+// errorText is the JSON body of an error response.
 type errorText struct {
 	Error string `json:"error"`
 }
--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// expireEvery is the pause between looks for silent instances: short against the silence that makes one lost.
-	expireEvery = time.Second
-	// commandsPerBatch bounds a change, so that a storm of orders doesn't make one that a slow disk takes seconds for.
-	commandsPerBatch = 64
-	// commandsWaiting bounds the queue; callers beyond it are sent away at once.
-	commandsWaiting = 1024
+	// expiryInterval is the pause between two checks for silent instances. It is short compared to the silence after which one is lost.
+	expiryInterval = time.Second
+	// maxBatchCommands bounds a change, so that a burst of configurations doesn't become one write that takes a slow disk seconds.
+	maxBatchCommands = 64
+	// maxQueuedCommands bounds the queue; callers beyond it are answered 503 at once.
+	maxQueuedCommands = 1024
 )
 
-// commandKind says what a command asks for.
+// commandKind is the type of a command.
 type commandKind int
 
 const (
-	placeOrder commandKind = iota
-	takeBeat
-	instanceLeaves
+	replaceConfiguration commandKind = iota
+	recordHeartbeat
+	markInstanceLeft
 	expireInstances
 	changeFailover
 	giveUpCopies
-	doubtInstances
+	drainRestoredInstances
 )
 
-// command is something that may change the control state. It is decided at the primary, in turn.
+// command may change the control state. The primary applies commands in the order of their arrival.
 type command struct {
 	kind       commandKind
 	call       CallID
@@ -47,30 +47,30 @@
 	change     failover.Change
 	giveUp     state.GiveUp
 
-	verdict state.Verdict // of an order, once decided
-	refusal string        // why what was lost isn't given up; "": it is
+	verdict state.Verdict // on a configuration, once applied
+	refusal string        // why a give-up is refused; "" if it isn't
 }
 
-// batch is a set of commands that were decided together and proposed as one change.
+// batch is a set of commands that were applied together and proposed as one change.
 type batch struct {
 	request  uint64
 	started  time.Duration
 	commands []command
 }
 
-// takeOrder checks the content first: what is wrong with it is wrong everywhere and for ever.
-func (c *Controller) takeOrder(in ReplaceConfiguration) {
+// handleReplaceConfiguration validates the body before anything else, also at a backup: no controller would ever accept an invalid one.
+func (c *Controller) handleReplaceConfiguration(in ReplaceConfiguration) {
 	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
 	order, err := configuration.Parse(in.Body)
 	if err != nil {
-		c.reply(Reply{Call: in.Call, Status: contentStatus(err), Body: errorBody(err.Error())})
+		c.reply(Reply{Call: in.Call, Status: invalidContentStatus(err), Body: errorBody(err.Error())})
 		return
 	}
-	c.queueCall(command{kind: placeOrder, call: in.Call, order: order})
+	c.enqueueForCaller(command{kind: replaceConfiguration, call: in.Call, order: order})
 }
 
-// contentStatus is the answer to content that is wrong.
-func contentStatus(err error) int {
+// invalidContentStatus returns the HTTP status for an invalid configuration.
+func invalidContentStatus(err error) int {
 	var refusal *configuration.Refusal
 	if errors.As(err, &refusal) && refusal.Reason == configuration.TooLarge {
 		return http.StatusRequestEntityTooLarge
@@ -78,63 +78,63 @@
 	return http.StatusBadRequest
 }
 
-func (c *Controller) takeHeartbeat(in Heartbeat) {
+func (c *Controller) handleHeartbeat(in Heartbeat) {
 	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
-	if c.takesForPrimary(in.Heartbeat) {
-		c.reply(Reply{Call: in.Call, Status: http.StatusOK, Body: beatBody(c.self)})
+	if c.acceptAsBackup(in.Heartbeat) {
+		c.reply(Reply{Call: in.Call, Status: http.StatusOK, Body: heartbeatReplyBody(c.self)})
 		return
 	}
-	c.queueCall(command{kind: takeBeat, call: in.Call, heartbeat: in.Heartbeat})
+	c.enqueueForCaller(command{kind: recordHeartbeat, call: in.Call, heartbeat: in.Heartbeat})
 }
 
-func (c *Controller) takeInstanceLeave(in InstanceLeave) {
+func (c *Controller) handleInstanceLeave(in InstanceLeave) {
 	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
-	c.queueCall(command{kind: instanceLeaves, call: in.Call, instanceID: in.InstanceID})
+	c.enqueueForCaller(command{kind: markInstanceLeft, call: in.Call, instanceID: in.InstanceID})
 }
 
-// queueCall queues a caller's command, or sends the caller to the primary.
-func (c *Controller) queueCall(command command) {
+// enqueueForCaller queues a caller's command, or redirects the caller to the primary.
+func (c *Controller) enqueueForCaller(command command) {
 	if c.term == nil {
 		c.redirect(command.call)
 		return
 	}
-	if len(c.term.commands) >= commandsWaiting {
-		c.dropUnwanted()
+	if len(c.term.commands) >= maxQueuedCommands {
+		c.dropClosedCommands()
 	}
-	if len(c.term.commands) >= commandsWaiting {
+	if len(c.term.commands) >= maxQueuedCommands {
 		c.unavailable(command.call)
 		return
 	}
-	c.queue(command)
+	c.enqueue(command)
 }
 
-func (c *Controller) queue(command command) { c.term.commands = append(c.term.commands, command) }
+func (c *Controller) enqueue(command command) { c.term.commands = append(c.term.commands, command) }
 
-// dropUnwanted forgets waiting commands whose callers have been answered or have gone: nothing is carried out for them.
-func (c *Controller) dropUnwanted() {
-	c.term.commands = slices.DeleteFunc(c.term.commands, func(waiting command) bool {
-		return waiting.call != 0 && !c.calls.isOpen(waiting.call)
+// dropClosedCommands drops queued commands whose callers have been answered or have gone: nothing is carried out for them.
+func (c *Controller) dropClosedCommands() {
+	c.term.commands = slices.DeleteFunc(c.term.commands, func(queued command) bool {
+		return queued.call != 0 && !c.calls.isOpen(queued.call)
 	})
 }
 
-// startBatch decides the waiting commands on the committed state and proposes what they change.
+// startBatch applies queued commands to the committed state and proposes their changes.
 func (c *Controller) startBatch() {
 	if c.term.batch != nil || len(c.term.commands) == 0 || !c.node.MayPropose() {
 		return
 	}
-	c.dropUnwanted()
+	c.dropClosedCommands()
 	if len(c.term.commands) == 0 {
 		return
 	}
-	count := min(len(c.term.commands), commandsPerBatch)
+	count := min(len(c.term.commands), maxBatchCommands)
 	batch := &batch{request: c.nextRequest(), started: c.now, commands: c.term.commands[:count:count]}
 	c.term.commands = c.term.commands[count:]
 	transaction := state.NewTransaction(c.node).Lacking(c.settings.DisabledGuards)
 	for index := range batch.commands {
-		c.decide(transaction, &batch.commands[index])
+		c.applyCommand(transaction, &batch.commands[index])
 	}
 	for _, broken := range transaction.Broken() {
-		c.event(invariant.Broken, broken)
+		c.logEvent(invariant.Broken, broken)
 	}
 	mutations := transaction.Mutations()
 	if len(mutations) == 0 {
@@ -143,39 +143,39 @@
 	}
 	c.term.batch = batch
 	if c.guards.changesUncommitted {
-		c.answerBatch(batch)
+		c.finishCommands(batch)
 	}
 	c.stepNode(replication.Propose{Request: batch.request, Mutations: mutations})
 }
 
-// decide runs one command on the transaction.
-func (c *Controller) decide(transaction *state.Transaction, command *command) {
+// applyCommand applies one command to the transaction.
+func (c *Controller) applyCommand(transaction *state.Transaction, command *command) {
 	switch command.kind {
-	case placeOrder:
+	case replaceConfiguration:
 		command.verdict = transaction.PlaceOrder(command.order)
-	case takeBeat:
-		c.decideBeat(transaction, command.heartbeat)
-	case instanceLeaves:
+	case recordHeartbeat:
+		c.applyHeartbeat(transaction, command.heartbeat)
+	case markInstanceLeft:
 		c.term.registry.Leave(c.now, transaction, command.instanceID)
 	case expireInstances:
-		c.term.expiring = false
-		c.keepFrozen()
+		c.term.isExpiring = false
+		c.keepFrozenInstances()
 		for _, id := range c.term.registry.Expire(c.now, transaction) {
-			c.event("instance lost", id+" has been silent for too long")
+			c.logEvent("instance lost", id+" has been silent for too long")
 		}
 	case changeFailover:
-		decideFailover(transaction, command.change)
+		applyFailoverChange(transaction, command.change)
 	case giveUpCopies:
-		c.decideGiveUp(transaction, command)
-	case doubtInstances:
+		c.applyGiveUp(transaction, command)
+	case drainRestoredInstances:
 		transaction.DoubtInstances()
-		c.event("restored", "the state is from a dump: all instances count as draining until they start anew")
+		c.logEvent("restored", "the state is from a dump: all instances count as draining until they restart")
 	}
 }
 
-// keepFrozen has no instance of a frozen service taken for lost. One that is silent may hold the only copy of a commit, and
-// a later primary of the control state would not know that it was ever there.
-func (c *Controller) keepFrozen() {
+// keepFrozenInstances keeps instances of frozen services from being declared lost. A silent one may hold the only copy of a commit, and a
+// later primary of the control state would not know that it ever existed.
+func (c *Controller) keepFrozenInstances() {
 	for _, service := range c.term.table.services {
 		if !service.Frozen {
 			continue
@@ -186,19 +186,19 @@
 	}
 }
 
-func (c *Controller) decideBeat(transaction *state.Transaction, beat registry.Heartbeat) {
-	taken := c.term.registry.Heartbeat(c.now, transaction, beat)
-	if !taken.Fresh {
+func (c *Controller) applyHeartbeat(transaction *state.Transaction, heartbeat registry.Heartbeat) {
+	result := c.term.registry.Heartbeat(c.now, transaction, heartbeat)
+	if !result.Fresh {
 		return
 	}
 	c.stepFailover(failover.Heartbeat{
-		InstanceID: beat.InstanceID,
-		Service:    beat.TargetService,
-		Primary:    beat.DBRole == registry.Primary,
+		InstanceID: heartbeat.InstanceID,
+		Service:    heartbeat.TargetService,
+		Primary:    heartbeat.DBRole == registry.Primary,
 	})
 }
 
-func decideFailover(transaction *state.Transaction, change failover.Change) {
+func applyFailoverChange(transaction *state.Transaction, change failover.Change) {
 	switch {
 	case change.Leader != nil:
 		transaction.SetLeader(change.Leader.Service, change.Leader.Leader)
@@ -211,33 +211,34 @@
 	}
 }
 
-// finishWithoutChange answers plain beats at once while this controller was confirmed a moment ago; all else waits for a
-// confirmation, since a deposed primary may decide on old state.
+// finishWithoutChange ends a batch that changes nothing. Plain heartbeats are acknowledged at once if the last confirmation is recent. All
+// other answers wait for a confirmation, because a deposed primary may have applied the commands to an old state.
 func (c *Controller) finishWithoutChange(batch *batch) {
 	for _, command := range batch.commands {
 		switch {
 		case command.kind == expireInstances:
-			// Nobody waits for it.
-		case command.kind == doubtInstances:
-			c.finish(command) // there is no instance to doubt
-		case c.isPlainBeat(command):
-			c.finish(command)
+			// No caller waits for it.
+		case command.kind == drainRestoredInstances:
+			c.finishCommand(command) // there is no instance to mark
+		case c.mayAcknowledgeUnconfirmed(command):
+			c.finishCommand(command)
 		default:
-			c.ask(question{command: &command})
+			c.awaitConfirmation(pendingReply{command: &command})
 		}
 	}
 }
 
-// isPlainBeat tells whether a beat asks for nothing that others must know of, and this controller was confirmed lately.
-func (c *Controller) isPlainBeat(command command) bool {
-	if command.kind != takeBeat || command.heartbeat.OperState != registry.Ready {
+// mayAcknowledgeUnconfirmed tells whether a command is a plain heartbeat, whose acknowledgement promises nothing to the instance, and the
+// last confirmation is recent.
+func (c *Controller) mayAcknowledgeUnconfirmed(command command) bool {
+	if command.kind != recordHeartbeat || command.heartbeat.OperState != registry.Ready {
 		return false
 	}
-	return c.now-c.term.confirmed <= confirmationFresh || c.guards.anyBeatUnconfirmed
+	return c.now-c.term.confirmedAt <= maxHeartbeatConfirmationAge || c.guards.heartbeatsUnconfirmed
 }
 
-// takeDecision ends a batch or a confirmation.
-func (c *Controller) takeDecision(decision replication.Decision) {
+// handleDecision finishes the batch or confirmation that was decided.
+func (c *Controller) handleDecision(decision replication.Decision) {
 	if c.term == nil {
 		return
 	}
@@ -246,35 +247,35 @@
 		c.finishBatch(batch, decision.Outcome)
 		return
 	}
-	c.takeConfirmation(decision)
+	c.handleConfirmation(decision)
 }
 
 func (c *Controller) finishBatch(batch *batch, outcome replication.Outcome) {
 	if outcome != replication.Done {
-		c.refuseBatch(batch)
+		c.failBatch(batch)
 		return
 	}
-	c.term.confirmed = max(c.term.confirmed, batch.started)
-	c.stateChanged()
-	c.answerBatch(batch)
+	c.term.confirmedAt = max(c.term.confirmedAt, batch.started)
+	c.handleStateChange()
+	c.finishCommands(batch)
 }
 
-func (c *Controller) answerBatch(batch *batch) {
+func (c *Controller) finishCommands(batch *batch) {
 	for _, command := range batch.commands {
-		c.finish(command)
+		c.finishCommand(command)
 	}
 }
 
-// refuseBatch ends a batch whose outcome isn't known here.
-func (c *Controller) refuseBatch(batch *batch) {
+// failBatch ends a batch whose outcome isn't known to this controller.
+func (c *Controller) failBatch(batch *batch) {
 	for _, command := range batch.commands {
-		c.refuse(command)
+		c.failCommand(command)
 	}
 }
 
-func (c *Controller) refuse(command command) {
-	if command.kind == doubtInstances {
-		return // this controller leads no more
+func (c *Controller) failCommand(command command) {
+	if command.kind == drainRestoredInstances {
+		return // this controller isn't primary any more
 	}
 	if command.kind == changeFailover {
 		c.stepFailover(failover.ChangeDecided{Request: command.change.Request})
@@ -283,43 +284,43 @@
 	c.unavailable(command.call)
 }
 
-// finish answers a command whose change is committed, or that needed none.
-func (c *Controller) finish(command command) {
+// finishCommand finishes a command whose change is committed, or that needed none.
+func (c *Controller) finishCommand(command command) {
 	switch command.kind {
-	case placeOrder:
-		c.reply(orderReply(command))
-	case takeBeat:
-		c.finishBeat(command)
-	case instanceLeaves:
+	case replaceConfiguration:
+		c.reply(configurationReply(command))
+	case recordHeartbeat:
+		c.finishHeartbeat(command)
+	case markInstanceLeft:
 		c.reply(Reply{Call: command.call, Status: http.StatusOK})
 	case changeFailover:
 		c.stepFailover(failover.ChangeDecided{Request: command.change.Request, Committed: true})
 	case giveUpCopies:
 		c.reply(giveUpReply(command))
-	case doubtInstances:
+	case drainRestoredInstances:
 		c.stepNode(replication.RestoredStateMarked{})
-		c.term.doubting = false
+		c.term.restorePending = false
 	}
 }
 
-// finishBeat acknowledges a beat. That of an instance that is draining rests on the committed state saying so: a beat that
-// seems late changes nothing, but may be the first one of an instance that counts its calls anew.
-func (c *Controller) finishBeat(command command) {
-	beat := command.heartbeat
-	if beat.OperState == registry.Draining && !c.knowsDrain(beat.InstanceID) {
+// finishHeartbeat acknowledges a heartbeat. A drain is acknowledged only if it is in the committed state: a heartbeat that seems late
+// changes nothing there, but it may be the first one of an instance that has restarted and counts its calls from the beginning.
+func (c *Controller) finishHeartbeat(command command) {
+	heartbeat := command.heartbeat
+	if heartbeat.OperState == registry.Draining && !c.isDrainCommitted(heartbeat.InstanceID) {
 		c.unavailable(command.call)
 		return
 	}
-	c.reply(Reply{Call: command.call, Status: http.StatusOK, Body: beatBody(c.beatTarget(beat))})
+	c.reply(Reply{Call: command.call, Status: http.StatusOK, Body: heartbeatReplyBody(c.heartbeatTarget(heartbeat))})
 }
 
-// knowsDrain tells whether all who work by the control state keep away from an instance, or will soon.
-func (c *Controller) knowsDrain(id string) bool {
+// isDrainCommitted tells whether the committed state has an instance as draining or as having left, so that gateways stop using it.
+func (c *Controller) isDrainCommitted(id string) bool {
 	instance, found := state.InstanceByID(c.node, id)
 	return found && (instance.Draining || instance.SaidFarewell())
 }
 
-func orderReply(command command) Reply {
+func configurationReply(command command) Reply {
 	if command.verdict == state.Conflict {
 		text := "configRevision " + strconv.FormatInt(command.order.Number, 10) + " is taken by another content"
 		return Reply{Call: command.call, Status: http.StatusConflict, Body: errorBody(text)}
--- a/control/controller/commands_test.go
+++ b/control/controller/commands_test.go
@@ -15,20 +15,20 @@
 	w, a := leading(t)
 	w.sendOrder(a, 1, "x")
 	var beats []*call
-	for index := range commandsWaiting + 50 {
+	for index := range maxQueuedCommands + 50 {
 		one := instance{id: fmt.Sprintf("i%d", index%10), seq: uint64(index)}
 		beats = append(beats, w.sendBeat(a, one.beat()))
 	}
 	for index, beat := range beats {
-		if index < commandsWaiting {
+		if index < maxQueuedCommands {
 			is.Equal(beat.outcome(), "none")
 			continue
 		}
 		is.Equal(beat.reply.Status, http.StatusServiceUnavailable)
 	}
-	is.Equal(len(a.controller.term.commands), commandsWaiting)
+	is.Equal(len(a.controller.term.commands), maxQueuedCommands)
 	w.run(time.Second)
-	for _, beat := range beats[:commandsWaiting] {
+	for _, beat := range beats[:maxQueuedCommands] {
 		is.Equal(beat.outcome(), "200")
 	}
 	is.Equal(w.broken, "")
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -1,10 +1,10 @@
-// Package controller joins the decisions of the control plane into one state machine: the replicated state
+// Package controller combines the parts of the control plane into one state machine: the replicated state
 // (replication), the registry of instances, the failover of services, and the tables and leases of gateways.
 //
-// It has no I/O, clocks or goroutines: a host hands in what happened and when, and carries out the effects. Everything
-// that changes the control state is decided at the primary, one batch of commands at a time, and each batch is one
-// change. Nothing is answered from the control state before a majority has confirmed, after the question came, that
-// this controller still leads.
+// It has no I/O, clocks or goroutines: a host passes in events with their times, and carries out the effects. The
+// primary alone decides what changes the control state, one batch of commands at a time, and each batch is one
+// replicated change. No request is answered from the control state before a majority has confirmed, after the request
+// came, that this controller is still primary. Plain heartbeats and grants of operations rest on a recent confirmation.
 package controller
 
 import (
@@ -26,44 +26,44 @@
 	now      time.Duration
 	node     *replication.Node
 	calls    *openCalls
-	requests uint64 // numbers the proposals and confirmations handed to the node
+	requests uint64 // number of the last proposal or confirmation handed to the node
 
-	term *term // what a primary keeps in memory; nil while this controller isn't primary
+	term *term // nil while this controller isn't primary
 
-	beats       []replication.ForwardedHeartbeat // taken for the primary and not told yet
-	guards      disabledGuards
-	terminating bool
-	effects     Effects
+	heartbeatsToForward []replication.ForwardedHeartbeat // accepted as a backup, for the next message to the primary
+	guards              disabledGuards
+	terminating         bool
+	effects             Effects
 
-	invariantsBroken uint64       // since the start
+	brokenInvariants uint64       // since the start
 	operations       quota.Counts // of the terms that have ended
 }
 
-// term is the memory of one term of office as primary. It starts empty with each term.
+// term is what a primary keeps in memory. A controller that becomes primary starts with an empty one, and drops it when its epoch ends.
 type term struct {
-	epoch          quorum.Epoch
-	registry       *registry.Registry
-	failover       *failover.Manager
-	reader         *state.ServiceReader
-	services       []failover.ServiceView // as committed; not to be modified
-	departuresTold bool                   // the failover has been told who departed under earlier terms
-	grants         *grants
-	table          table
-	bank           *quota.Allocator
-	commands       []command         // waiting for the next batch
-	batch          *batch            // proposed and not decided yet
-	questions      []question        // need a confirmation that hasn't been asked for yet
-	asked          []confirmation    // asked for and not decided yet
-	watches        []*watch          // gateways' questions that wait for news
-	confirmed      time.Duration     // when the last confirmation or commit was asked for that was granted
-	expireAt       time.Duration     // when silent instances are looked for again
-	expiring       bool              // a look for silent instances waits for a batch
-	doubting       bool              // the state is from a dump, and what must be doubted isn't marked yet: nobody may work by it
-	freezes        map[string]freeze // services that are frozen, by name
-	freezesSeen    uint64            // the failover's count of changes when they were taken over
+	epoch              quorum.Epoch
+	registry           *registry.Registry
+	failover           *failover.Manager
+	reader             *state.ServiceReader
+	services           []failover.ServiceView // as committed; must not be modified
+	departuresReported bool                   // the failover manager knows the instances that departed under earlier terms
+	leases             *gatewayLeases
+	table              table
+	allocator          *quota.Allocator
+	commands           []command         // wait for the next batch
+	batch              *batch            // proposed and not decided yet; nil for none
+	unconfirmed        []pendingReply    // wait for a confirmation that hasn't been requested yet
+	confirmations      []confirmation    // requested and not decided yet
+	watches            []*watch          // gateways' requests that wait for a newer table
+	confirmedAt        time.Duration     // when the last successful confirmation or commit was requested
+	nextExpiry         time.Duration     // when silent instances are looked for next
+	isExpiring         bool              // an expireInstances command waits for a batch
+	restorePending     bool              // the state is from a dump and its instances aren't marked as draining yet: gateways get no table
+	freezes            map[string]freeze // frozen services, by name
+	freezeChangesSeen  uint64            // failover.Manager.FreezeChanges when freezes was last updated
 }
 
-// New makes a controller from what its disk holds.
+// New makes a controller from the state on its disk.
 func New(now time.Duration, settings Settings, durable replication.DurableState) *Controller {
 	self := settings.Replication.Self
 	self.Incarnation = durable.Incarnation
@@ -77,25 +77,25 @@
 	}
 }
 
-// Step takes in what happened and returns what the host must do.
+// Step handles an input and returns what the host must do.
 func (c *Controller) Step(now time.Duration, input Input) Effects {
 	c.now = now
 	c.effects = Effects{}
-	c.take(input)
-	c.settle()
-	c.effects.CanExit = c.terminating && c.node.HasLeft() && c.calls.empty()
+	c.handle(input)
+	c.runPending()
+	c.effects.CanExit = c.terminating && c.node.HasLeft() && c.calls.isEmpty()
 	return c.effects
 }
 
-func (c *Controller) take(input Input) {
+func (c *Controller) handle(input Input) {
 	switch in := input.(type) {
 	case Tick:
 		c.stepNode(replication.Tick{})
-		c.sendBeatNotes()
-		c.passTime()
+		c.forwardHeartbeats()
+		c.checkTimers()
 	case PeerMessage:
 		if len(in.Message.Beats) > 0 {
-			c.takeBeatNotes(in.Message.Beats)
+			c.handleForwardedHeartbeats(in.Message.Beats)
 			return
 		}
 		c.stepNode(replication.Received{Message: in.Message})
@@ -109,60 +109,60 @@
 		c.terminating = true
 		c.stepNode(replication.Leave{})
 	case ReplaceConfiguration:
-		c.takeOrder(in)
+		c.handleReplaceConfiguration(in)
 	case FetchConfiguration:
-		c.takeFetch(in)
+		c.handleFetchConfiguration(in)
 	case Heartbeat:
-		c.takeHeartbeat(in)
+		c.handleHeartbeat(in)
 	case InstanceLeave:
-		c.takeInstanceLeave(in)
+		c.handleInstanceLeave(in)
 	case GiveUp:
-		c.takeGiveUp(in)
+		c.handleGiveUp(in)
 	case Watch:
-		c.takeWatch(in)
+		c.handleWatch(in)
 	case Abandon:
 		c.abandon(in.Call)
 	case ProbeFinished:
-		c.takeProbe(in)
+		c.handleProbeFinished(in)
 	case PlatformCallFinished:
-		c.takePlatformCall(in)
+		c.handlePlatformCallFinished(in)
 	}
 }
 
-// settle follows the node's role and starts what can be started now.
-func (c *Controller) settle() {
-	c.followRole()
+// runPending follows the node's role and starts the work that can be started now.
+func (c *Controller) runPending() {
+	c.syncTerm()
 	if c.term == nil {
 		return
 	}
 	c.refreshTable()
-	c.reportCleared()
-	c.answerWatches()
+	c.reportClearedFreezes()
+	c.confirmDueWatches()
 	c.startBatch()
-	c.askConfirmation()
+	c.requestConfirmation()
 }
 
-// stepNode steps the node and passes its effects on.
+// stepNode steps the replication node and carries out its effects.
 func (c *Controller) stepNode(input replication.Input) {
 	effects := c.node.Step(c.now, input)
 	c.effects.Writes = append(c.effects.Writes, effects.Writes...)
 	c.effects.Send = append(c.effects.Send, effects.Send...)
 	for _, event := range effects.Events {
-		c.event(event.What, event.Text)
+		c.logEvent(event.What, event.Text)
 	}
-	c.followRole()
+	c.syncTerm()
 	for _, decision := range effects.Decisions {
-		c.takeDecision(decision)
+		c.handleDecision(decision)
 	}
 }
 
-// followRole starts or ends a term of office.
-func (c *Controller) followRole() {
-	leads := c.node.Role() == replication.Primary
-	if c.term != nil && (!leads || c.node.Epoch() != c.term.epoch) {
+// syncTerm starts or ends a term when the node's role or epoch has changed.
+func (c *Controller) syncTerm() {
+	isPrimary := c.node.Role() == replication.Primary
+	if c.term != nil && (!isPrimary || c.node.Epoch() != c.term.epoch) {
 		c.endTerm()
 	}
-	if c.term == nil && leads {
+	if c.term == nil && isPrimary {
 		c.startTerm()
 	}
 }
@@ -173,69 +173,69 @@
 	failoverSettings.Fence = uint64(epoch)
 	failoverSettings.DisabledGuards = c.settings.DisabledGuards
 	c.term = &term{
-		epoch:     epoch,
-		reader:    state.NewServiceReader(),
-		registry:  registry.New(c.now, c.settings.InstanceTimeout).Lacking(c.settings.DisabledGuards),
-		failover:  failover.New(c.now, failoverSettings),
-		grants:    newGrants(c.now, c.settings.Lease+c.settings.LeaseMargin, c.guards),
-		table:     newTable(epoch),
-		bank:      c.newBank(),
-		confirmed: c.now,
-		freezes:   map[string]freeze{},
+		epoch:       epoch,
+		reader:      state.NewServiceReader(),
+		registry:    registry.New(c.now, c.settings.InstanceTimeout).Lacking(c.settings.DisabledGuards),
+		failover:    failover.New(c.now, failoverSettings),
+		leases:      newGatewayLeases(c.now, c.settings.Lease+c.settings.LeaseMargin, c.guards),
+		table:       newTable(epoch),
+		allocator:   c.newAllocator(),
+		confirmedAt: c.now,
+		freezes:     map[string]freeze{},
 	}
 	if c.node.LeadsRestoredState() {
-		c.term.doubting = true
-		c.queue(command{kind: doubtInstances})
+		c.term.restorePending = true
+		c.enqueue(command{kind: drainRestoredInstances})
 	}
-	c.stateChanged()
+	c.handleStateChange()
 }
 
-// endTerm forgets what only a primary knows, and answers everybody who waits.
+// endTerm drops the primary's state in memory and answers all callers that wait.
 func (c *Controller) endTerm() {
 	ended := c.term
 	c.term = nil
-	c.operations = c.operations.Plus(ended.bank.Counts())
-	for _, waiting := range ended.watches {
-		c.refuseWatch(waiting.call)
+	c.operations = c.operations.Plus(ended.allocator.Counts())
+	for _, watch := range ended.watches {
+		c.refuseWatch(watch.call)
 	}
-	for _, question := range ended.questions {
-		c.refuseQuestion(question)
+	for _, pending := range ended.unconfirmed {
+		c.refusePending(pending)
 	}
-	for _, confirmation := range ended.asked {
-		c.refuseQuestions(confirmation.questions)
+	for _, confirmation := range ended.confirmations {
+		c.refuseAllPending(confirmation.pending)
 	}
 	for _, command := range ended.commands {
 		c.redirect(command.call)
 	}
 	if ended.batch != nil {
-		c.refuseBatch(ended.batch)
+		c.failBatch(ended.batch)
 	}
-	c.event("deposed", "epoch "+epochText(ended.epoch)+" is over here")
+	c.logEvent("deposed", "no longer primary in epoch "+epochText(ended.epoch))
 }
 
-// passTime answers calls that have waited too long and looks for silent instances.
-func (c *Controller) passTime() {
-	late := c.calls.overdue(c.now)
-	for _, call := range late {
+// checkTimers answers calls that have waited too long and looks for silent instances.
+func (c *Controller) checkTimers() {
+	overdue := c.calls.takeOverdue(c.now)
+	for _, call := range overdue {
 		c.unavailable(call)
 	}
 	if c.term == nil {
 		return
 	}
-	if len(late) > 0 {
-		c.dropUnwanted()
+	if len(overdue) > 0 {
+		c.dropClosedCommands()
 	}
 	c.stepFailover(failover.Tick{})
-	if c.now >= c.term.expireAt && !c.term.expiring {
-		c.term.expireAt, c.term.expiring = c.now+expireEvery, true
-		c.queue(command{kind: expireInstances})
-		c.term.grants.expire(c.now)
+	if c.now >= c.term.nextExpiry && !c.term.isExpiring {
+		c.term.nextExpiry, c.term.isExpiring = c.now+expiryInterval, true
+		c.enqueue(command{kind: expireInstances})
+		c.term.leases.expire(c.now)
 	}
 }
 
-func (c *Controller) event(what, text string) {
+func (c *Controller) logEvent(what, text string) {
 	if what == invariant.Broken {
-		c.invariantsBroken++
+		c.brokenInvariants++
 	}
 	c.effects.Events = append(c.effects.Events, Event{What: what, Text: text})
 }
@@ -245,31 +245,31 @@
 	return c.requests
 }
 
-// Status tells how things stand, for logs and tests.
+// Status describes a controller, for logs, metrics and tests.
 type Status struct {
 	Role                replication.Role
 	View                quorum.View
 	Stamp               quorum.Stamp
 	ConfigurationNumber int64
 	FrozenServices      []string
-	BrokenInvariants    uint64          // invariants, since the start
+	BrokenInvariants    uint64          // since the start
 	Operations          quota.Counts    // of tenants, since the start
-	Services            []ServiceStatus // at the primary
+	Services            []ServiceStatus // only at the primary
 }
 
-// ServiceStatus tells how a service stands.
+// ServiceStatus describes a service.
 type ServiceStatus struct {
 	Name      string
-	Instances int // that are present
-	Draining  int // of those
+	Instances int // how many are present
+	Draining  int // how many of those drain
 	Frozen    bool
 }
 
-// Status tells how things stand.
+// Status returns the current status.
 func (c *Controller) Status() Status {
-	status := Status{Role: c.node.Role(), View: c.node.View(), Stamp: c.node.Stamp(), BrokenInvariants: c.invariantsBroken, Operations: c.operations}
+	status := Status{Role: c.node.Role(), View: c.node.View(), Stamp: c.node.Stamp(), BrokenInvariants: c.brokenInvariants, Operations: c.operations}
 	if c.term != nil {
-		status.Operations = c.operations.Plus(c.term.bank.Counts())
+		status.Operations = c.operations.Plus(c.term.allocator.Counts())
 		status.ConfigurationNumber = c.term.table.configurationNumber
 		status.FrozenServices = c.term.frozenServices()
 		status.Services = c.term.serviceStatus()
@@ -280,14 +280,14 @@
 func (t *term) serviceStatus() []ServiceStatus {
 	services := make([]ServiceStatus, 0, len(t.services))
 	for _, view := range t.services {
-		one := ServiceStatus{Name: view.Name, Instances: len(view.Instances)}
+		service := ServiceStatus{Name: view.Name, Instances: len(view.Instances)}
 		for _, instance := range view.Instances {
 			if instance.Draining {
-				one.Draining++
+				service.Draining++
 			}
 		}
-		_, one.Frozen = t.freezes[view.Name]
-		services = append(services, one)
+		_, service.Frozen = t.freezes[view.Name]
+		services = append(services, service)
 	}
 	return services
 }
--- a/control/controller/cost_test.go
+++ b/control/controller/cost_test.go
@@ -67,13 +67,13 @@
 // BenchmarkOperations is a gateway's question for an operation of a tenant.
 func BenchmarkOperations(b *testing.B) {
 	w, leads := busyWorld(1000, 30, 300)
-	leads.controller.term.bank.SetLimits(w.now, []quota.Limit{{Tenant: "bakers", RatePerS: 1e6, Burst: 1e6}})
+	leads.controller.term.allocator.SetLimits(w.now, []quota.Limit{{Tenant: "bakers", RatePerS: 1e6, Burst: 1e6}})
 	wants := []quota.Want{{Tenant: "bakers", Operations: 1}}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for index := range b.N {
 		request := feed.WatchRequest{Gateway: "g1#1", Operations: &quota.Request{Number: uint64(index), Wants: wants}}
-		leads.controller.term.confirmed = w.now
+		leads.controller.term.confirmedAt = w.now
 		leads.controller.Step(w.now, Watch{Call: 1 << 40, Request: request})
 	}
 }
--- a/control/controller/guards.go
+++ b/control/controller/guards.go
@@ -1,24 +1,24 @@
 package controller
 
-// disabledGuards switches single guards off. Only tests set it, to see that they find what the guard prevents.
+// disabledGuards disables single safety checks. Only tests set it, to show that they detect the fault which the check prevents.
 type disabledGuards struct {
-	fetchesUnconfirmed bool // a fetch is answered without a confirmation
-	ordersUnconfirmed  bool // an order that changes nothing is answered without a confirmation
-	watchesUnconfirmed bool // a gateway is answered without a confirmation
-	changesUncommitted bool // a change is answered before it is committed
-	leasesUncounted    bool // no gateway's lease holds up a freeze
-	formerLeases       bool // leases of earlier terms hold up no freeze
-	anyBeatUnconfirmed bool // plain beats are acknowledged however old the last confirmation is
-	operationsStale    bool // operations are granted however old the last confirmation is
-	bankOpensAtOnce    bool // a new term grants operations while an earlier one may
+	fetchesUnconfirmed    bool // a configuration is fetched without a confirmation
+	replacesUnconfirmed   bool // a POST /config/replace that changes nothing is answered without a confirmation
+	watchesUnconfirmed    bool // a gateway is answered without a confirmation
+	changesUncommitted    bool // a change is acknowledged before it is committed
+	leasesIgnored         bool // a freeze doesn't wait for gateways' leases
+	earlierLeasesIgnored  bool // a freeze doesn't wait for leases of earlier terms
+	heartbeatsUnconfirmed bool // plain heartbeats are acknowledged however old the last confirmation is
+	operationsUnconfirmed bool // operations are granted however old the last confirmation is
+	allocatorOpensAtOnce  bool // a new term grants operations while an earlier one still may
 }
 
-func (g disabledGuards) unconfirmed(question question) bool {
+func (g disabledGuards) skipsConfirmation(pending pendingReply) bool {
 	switch {
-	case question.watch != nil:
+	case pending.watch != nil:
 		return g.watchesUnconfirmed
-	case question.command != nil:
-		return g.ordersUnconfirmed
+	case pending.command != nil:
+		return g.replacesUnconfirmed
 	}
 	return g.fetchesUnconfirmed
 }
--- a/control/controller/guards_test.go
+++ b/control/controller/guards_test.go
@@ -10,13 +10,13 @@
 		scenario string
 	}{
 		{"fetches unconfirmed", disabledGuards{fetchesUnconfirmed: true}, "woken-primary"},
-		{"orders unconfirmed", disabledGuards{ordersUnconfirmed: true}, "woken-primary"},
+		{"orders unconfirmed", disabledGuards{replacesUnconfirmed: true}, "woken-primary"},
 		{"watches unconfirmed", disabledGuards{watchesUnconfirmed: true}, "gateways"},
 		{"changes uncommitted", disabledGuards{changesUncommitted: true}, "takeover-lost-order"},
-		{"leases uncounted", disabledGuards{leasesUncounted: true}, "freeze-cut-gateway"},
-		{"leases uncounted", disabledGuards{leasesUncounted: true}, "freeze-frozen-gateway"},
-		{"former leases", disabledGuards{formerLeases: true}, "freeze-takeover"},
-		{"any beat unconfirmed", disabledGuards{anyBeatUnconfirmed: true}, "instances"},
+		{"leases uncounted", disabledGuards{leasesIgnored: true}, "freeze-cut-gateway"},
+		{"leases uncounted", disabledGuards{leasesIgnored: true}, "freeze-frozen-gateway"},
+		{"former leases", disabledGuards{earlierLeasesIgnored: true}, "freeze-takeover"},
+		{"any beat unconfirmed", disabledGuards{heartbeatsUnconfirmed: true}, "instances"},
 	} {
 		t.Run(one.guard+" "+one.scenario, func(t *testing.T) {
 			for seed := int64(1); seed <= 5; seed++ {
--- a/control/controller/grants_test.go
+++ b/control/controller/leases_test.go
@@ -22,15 +22,15 @@
 // A gateway's first question is answered after a while: what is forgotten in between must not be its lease.
 func TestLeaseIsRemembered(t *testing.T) {
 	is := is.New(t)
-	g := newGrants(0, leaseLength, disabledGuards{})
+	g := newGatewayLeases(0, leaseLength, disabledGuards{})
 	now := 10 * time.Second
-	g.ask(word("g#1", version(1)))
+	g.noteRequest(word("g#1", version(1)))
 	g.expire(now)
-	g.give(now, word("g#1", version(1)))
+	g.grant(now, word("g#1", version(1)))
 	g.expire(now + leaseLength - 1)
-	is.True(!g.cleared(now+leaseLength-1, version(2)))
-	is.True(g.cleared(now+leaseLength-1, version(1)))
-	is.True(g.cleared(now+leaseLength, version(2)))
+	is.True(!g.noneBehind(now+leaseLength-1, version(2)))
+	is.True(g.noneBehind(now+leaseLength-1, version(1)))
+	is.True(g.noneBehind(now+leaseLength, version(2)))
 	g.expire(now + leaseLength)
 	is.Equal(len(g.gateways), 0)
 }
@@ -39,41 +39,41 @@
 func TestEarlierProcessDoesNotEndTheLeaseOfALaterOne(t *testing.T) {
 	for _, leaving := range []bool{false, true} {
 		is := is.New(t)
-		g := newGrants(0, leaseLength, disabledGuards{})
+		g := newGatewayLeases(0, leaseLength, disabledGuards{})
 		now := 10 * time.Second
-		g.give(now, word("g#2", version(1)))
+		g.grant(now, word("g#2", version(1)))
 		late := word("g#1", version(1))
 		late.Leaving = leaving
-		g.ask(late)
-		is.True(!g.cleared(now+time.Second, version(2)))
+		g.noteRequest(late)
+		is.True(!g.noneBehind(now+time.Second, version(2)))
 	}
 }
 
 func TestGoodbyeEndsTheLease(t *testing.T) {
 	is := is.New(t)
-	g := newGrants(0, leaseLength, disabledGuards{})
+	g := newGatewayLeases(0, leaseLength, disabledGuards{})
 	now := 10 * time.Second
-	g.give(now, word("g#1", version(1)))
+	g.grant(now, word("g#1", version(1)))
 	goodbye := word("g#1", version(1))
 	goodbye.Leaving = true
-	g.ask(goodbye)
-	is.True(g.cleared(now+time.Second, version(2)))
+	g.noteRequest(goodbye)
+	is.True(g.noneBehind(now+time.Second, version(2)))
 }
 
 // A gateway that works by a table of a later epoch shows that this term is over.
 func TestNothingIsClearedOnceALaterEpochIsSeen(t *testing.T) {
 	is := is.New(t)
-	g := newGrants(0, leaseLength, disabledGuards{})
+	g := newGatewayLeases(0, leaseLength, disabledGuards{})
 	now := 10 * time.Second
-	g.give(now, word("g#1", version(1)))
-	g.ask(word("g#1", feed.Version{Epoch: 2, Sequence: 1}))
-	is.True(!g.cleared(now+time.Second, version(2)))
-	is.True(!g.cleared(now+time.Hour, version(2)))
+	g.grant(now, word("g#1", version(1)))
+	g.noteRequest(word("g#1", feed.Version{Epoch: 2, Sequence: 1}))
+	is.True(!g.noneBehind(now+time.Second, version(2)))
+	is.True(!g.noneBehind(now+time.Hour, version(2)))
 }
 
 func TestLeasesOfEarlierTermsAreWaitedFor(t *testing.T) {
 	is := is.New(t)
-	g := newGrants(time.Second, leaseLength, disabledGuards{})
-	is.True(!g.cleared(time.Second+leaseLength-1, version(1)))
-	is.True(g.cleared(time.Second+leaseLength, version(1)))
+	g := newGatewayLeases(time.Second, leaseLength, disabledGuards{})
+	is.True(!g.noneBehind(time.Second+leaseLength-1, version(1)))
+	is.True(g.noneBehind(time.Second+leaseLength, version(1)))
 }
--- a/control/controller/operations.go
+++ b/control/controller/operations.go
@@ -11,69 +11,70 @@
 	"eiderway/control/quota"
 )
 
-// operationsFresh is how long after a confirmation operations are granted without another. A primary that was deposed grants none later than
-// this after the promises that deposed it, and the bank of a later term opens no sooner.
-const operationsFresh = 300 * time.Millisecond
+// maxGrantConfirmationAge is how long after a confirmation operations are granted without another one. So a deposed primary stops granting
+// at most this long after the promises that deposed it, and the allocator of a later term doesn't open before that.
+const maxGrantConfirmationAge = 300 * time.Millisecond
 
-// takeOperations answers a gateway's question for operations of tenants, at once if this controller was confirmed a moment ago.
-func (c *Controller) takeOperations(in Watch) {
-	asked := &watch{call: in.Call, request: in.Request}
-	if c.mayGrant() {
-		c.answerOperations(asked)
+// handleOperations answers a gateway's request for operations of tenants: at once if the last confirmation is recent, or else after the
+// next one.
+func (c *Controller) handleOperations(in Watch) {
+	watch := &watch{call: in.Call, request: in.Request}
+	if c.mayGrantOperations() {
+		c.answerOperations(watch)
 		return
 	}
-	c.ask(question{watch: asked})
+	c.awaitConfirmation(pendingReply{watch: watch})
 }
 
-// mayGrant tells whether no later term can have opened its bank yet.
-func (c *Controller) mayGrant() bool {
-	lacks := c.guards.operationsStale || c.settings.DisabledGuards.Lacks(guard.GrantConfirmed)
-	return c.now-c.term.confirmed < operationsFresh || lacks
+// mayGrantOperations tells whether the last confirmation is so recent that the allocator of a later term can't be open yet.
+func (c *Controller) mayGrantOperations() bool {
+	isDisabled := c.guards.operationsUnconfirmed || c.settings.DisabledGuards.Lacks(guard.GrantConfirmed)
+	return c.now-c.term.confirmedAt < maxGrantConfirmationAge || isDisabled
 }
 
-// bankNumber is a number that no other bank has, at this controller or another one: an epoch has one primary.
-func (c *Controller) bankNumber() uint64 {
-	const bitsOfRequests = 32
-	return uint64(c.node.Epoch())<<bitsOfRequests | c.nextRequest()
+// newAllocatorID returns a number that no other allocator has, at any controller: an epoch has only one primary.
+func (c *Controller) newAllocatorID() uint64 {
+	const requestBits = 32
+	return uint64(c.node.Epoch())<<requestBits | c.nextRequest()
 }
 
-// newBank makes the bank of a term that begins now. It opens once what earlier terms have granted to operations that waited is over.
-func (c *Controller) newBank() *quota.Allocator {
-	opensAt := c.now + operationsFresh + quota.GrantLife + c.settings.LeaseMargin
-	if c.guards.bankOpensAtOnce || c.settings.DisabledGuards.Lacks(guard.BankOpensLate) {
+// newAllocator makes the allocator of a term that begins now. It opens when all short-lived grants of earlier terms have expired.
+func (c *Controller) newAllocator() *quota.Allocator {
+	opensAt := c.now + maxGrantConfirmationAge + quota.GrantLife + c.settings.LeaseMargin
+	if c.guards.allocatorOpensAtOnce || c.settings.DisabledGuards.Lacks(guard.BankOpensLate) {
 		opensAt = c.now
 	}
 	if c.settings.DisabledGuards.Lacks(guard.BankStartsEmpty) {
 		opensAt = 0
 	}
-	return quota.NewAllocator(c.bankNumber(), opensAt, c.settings.Quota)
+	return quota.NewAllocator(c.newAllocatorID(), opensAt, c.settings.Quota)
 }
 
-func (c *Controller) answerOperations(asked *watch) {
-	if !c.mayGrant() {
-		c.refuseWatch(asked.call) // the confirmation took too long to say that nobody else grants
+func (c *Controller) answerOperations(watch *watch) {
+	if !c.mayGrantOperations() {
+		c.refuseWatch(watch.call) // the confirmation took so long that a later primary may be granting
 		return
 	}
-	answer := c.term.bank.Answer(c.now, *asked.request.Operations)
+	answer := c.term.allocator.Answer(c.now, *watch.request.Operations)
 	c.effects.WatchReplies = append(c.effects.WatchReplies, WatchReply{
-		Call:   asked.call,
+		Call:   watch.call,
 		Answer: feed.WatchAnswer{Primary: c.self, Members: c.term.table.members, Operations: &answer},
 	})
 }
 
-// limitTenants gives the bank the limits of a configuration that is in force from now on.
-func (c *Controller) limitTenants(body []byte) {
+// setTenantLimits gives the allocator the limits of a configuration that comes into force now.
+func (c *Controller) setTenantLimits(body []byte) {
 	order, err := configuration.Parse(body)
 	if err != nil {
-		c.event("configuration", "the one in force can't be read: "+err.Error())
+		c.logEvent("configuration", "the configuration in force can't be parsed: "+err.Error())
 		return
 	}
 	limited := lo.Filter(order.Contents.Tenants, func(tenant configuration.Tenant, _ int) bool { return tenant.Limited })
 	since := c.now
 	if c.settings.DisabledGuards.Lacks(guard.BankStartsEmpty) {
-		since = 0 // as if it had been filling all along
+		since = 0 // as if the buckets had been filling all along
 	}
-	c.term.bank.SetLimits(since, lo.Map(limited, func(tenant configuration.Tenant, _ int) quota.Limit {
+	c.term.allocator.SetLimits(since, lo.Map(limited, func(tenant configuration.Tenant, _ int) quota.Limit {
 		return quota.Limit{Tenant: tenant.Name, RatePerS: tenant.RatePerS, Burst: tenant.BurstSize}
 	}))
 }
--- a/control/controller/operations_test.go
+++ b/control/controller/operations_test.go
@@ -61,7 +61,7 @@
 	var ofOld, ofOthers []*watching
 	for firstNew == 0 && w.now < time.Minute {
 		if term := old.controller.term; term != nil {
-			confirmed = term.confirmed
+			confirmed = term.confirmedAt
 		}
 		for _, one := range w.machines {
 			asked := w.askOperations(one)
@@ -94,22 +94,22 @@
 		is := is.New(t)
 		lastOld, confirmed, firstNew := overlap(t, seed, disabledGuards{})
 		is.True(lastOld > 0)
-		is.True(lastOld < confirmed+operationsFresh) // by seed
-		is.True(firstNew > lastOld)                  // by seed
+		is.True(lastOld < confirmed+maxGrantConfirmationAge) // by seed
+		is.True(firstNew > lastOld)                          // by seed
 	}
 }
 
 // The guards of operations are found when they are taken out: the old primary grants for too long, or the new one too early.
 func TestGuardsOfOperations(t *testing.T) {
 	is := is.New(t)
-	lastOld, confirmed, _ := overlap(t, 1, disabledGuards{operationsStale: true})
-	is.True(lastOld >= confirmed+operationsFresh)
+	lastOld, confirmed, _ := overlap(t, 1, disabledGuards{operationsUnconfirmed: true})
+	is.True(lastOld >= confirmed+maxGrantConfirmationAge)
 	early := 0
 	for seed := int64(1); seed <= 20; seed++ {
-		w, old := leadingWithTenants(t, seed, disabledGuards{bankOpensAtOnce: true})
+		w, old := leadingWithTenants(t, seed, disabledGuards{allocatorOpensAtOnce: true})
 		w.kill(old)
 		is.True(w.until(patience, func() bool { return w.primary() != nil }))
-		if opensAt := w.now + operationsFresh; w.until(operationsFresh, func() bool { return w.grantsNow(w.primary()) }) && w.now < opensAt {
+		if opensAt := w.now + maxGrantConfirmationAge; w.until(maxGrantConfirmationAge, func() bool { return w.grantsNow(w.primary()) }) && w.now < opensAt {
 			early++
 		}
 	}
@@ -131,9 +131,9 @@
 		is.True(w.until(patience, func() bool { return w.primary() != nil }))
 		began := w.now
 		is.True(w.until(patience, func() bool { return w.grantsNow(w.primary()) }))
-		opens := began + operationsFresh + quota.GrantLife // what was granted before is over then
+		opens := began + maxGrantConfirmationAge + quota.GrantLife // what was granted before is over then
 		is.True(w.now > opens)
-		is.True(w.now < opens+operationsFresh) // no later than needed
+		is.True(w.now < opens+maxGrantConfirmationAge) // no later than needed
 	}
 }
 
@@ -144,7 +144,7 @@
 	w.run(time.Second) // the last confirmation is not fresh any more
 	w.isolate(leads.name)
 	asked := w.askOperations(leads)
-	w.run(operationsFresh + 10*time.Millisecond)
+	w.run(maxGrantConfirmationAge + 10*time.Millisecond)
 	w.cut = map[link]bool{}
 	is.True(w.until(patience, func() bool { return asked.replies == 1 }))
 	is.True(leads.controller.term != nil) // still primary
--- a/control/controller/search_test.go
+++ b/control/controller/search_test.go
@@ -40,7 +40,7 @@
 	for name, guards := range map[string]disabledGuards{
 		"fetches unconfirmed": {fetchesUnconfirmed: true},
 		"changes uncommitted": {changesUncommitted: true},
-		"leases uncounted":    {leasesUncounted: true},
+		"leases uncounted":    {leasesIgnored: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(8 * searchSeeds) {
--- a/control/controller/table.go
+++ b/control/controller/table.go
@@ -12,69 +12,68 @@
 	"eiderway/control/state"
 )
 
-// table is what gateways are to work by, with its version.
+// table is the state that gateways work by, with its version.
 type table struct {
 	version             feed.Version
-	dirty               bool
+	isDirty             bool // the committed state has changed since the table was built
 	configurationNumber int64
 	configuration       []byte
 	services            []feed.Service
 	members             []quorum.Member
 
-	digest  uint64                 // of the services
-	changed map[string]uint64      // the sequence in which each service changed last; one that is gone too
-	deltas  map[uint64]*feed.Table // what has changed since a sequence; emptied with each version
-	since   time.Duration          // when this version was made
+	digest    uint64                 // of the services
+	changedIn map[string]uint64      // the sequence in which each service changed last, also of services that are gone
+	deltas    map[uint64]*feed.Table // the changes since a sequence, by sequence; reset with each version
+	createdAt time.Duration          // when this version was made
 
-	postponed bool // what has changed since can wait until publishPause is over
+	isPostponed bool // later changes can wait until minPublishInterval is over
 }
 
-// publishPause is the least time between two versions of the table where the later one only adds instances: when a fleet starts, hundreds of
-// instances come within seconds, and each version goes to each gateway.
-const publishPause = 50 * time.Millisecond
+// minPublishInterval is the least time between two versions of the table if the later one only adds instances. When a fleet starts,
+// hundreds of instances join within seconds, and each version goes to each gateway.
+const minPublishInterval = 50 * time.Millisecond
 
 func newTable(epoch quorum.Epoch) table {
-	return table{version: feed.Version{Epoch: epoch}, dirty: true, changed: map[string]uint64{}}
+	return table{version: feed.Version{Epoch: epoch}, isDirty: true, changedIn: map[string]uint64{}}
 }
 
-// freeze is a service whose leader may not be given new work.
+// freeze marks a service whose leader may not be given new work.
 type freeze struct {
-	number  uint64
-	version feed.Version // of the first table that says so
-	told    bool         // the failover knows that every gateway has it
+	number     uint64
+	version    feed.Version // of the first table that has the freeze; zero: none has it yet
+	isReported bool         // the failover manager knows that the freeze binds all gateways
 }
 
-// refreshTable makes a new version of the table if what it is made of has changed.
+// refreshTable makes a new version of the table if its contents have changed.
 func (c *Controller) refreshTable() {
 	term := c.term
 	if term == nil {
 		return
 	}
-	frozenChanged := c.followFreezes()
+	frozenChanged := c.syncFreezes()
 	members := c.node.View().Voters
-	if term.table.postponed && !frozenChanged && c.now-term.table.since < publishPause {
+	if term.table.isPostponed && !frozenChanged && c.now-term.table.createdAt < minPublishInterval {
 		return
 	}
-	if !term.table.dirty && !frozenChanged && reflect.DeepEqual(members, term.table.members) {
+	if !term.table.isDirty && !frozenChanged && reflect.DeepEqual(members, term.table.members) {
 		return
 	}
 	next := c.buildTable(members)
 	same := sameTable(next, term.table)
-	if !same && !frozenChanged && c.now-term.table.since < publishPause && onlyAdds(term.table, next) {
-		term.table.postponed = true
+	if !same && !frozenChanged && c.now-term.table.createdAt < minPublishInterval && onlyAdds(term.table, next) {
+		term.table.isPostponed = true
 		return
 	}
-	if !same || c.freezeUnplaced() {
+	if !same || c.hasUnpublishedFreeze() {
 		next.version.Sequence++
-		next.since = c.now
-		next.follow(term.table)
-		c.placeFreezes(next.version)
+		next.createdAt = c.now
+		next.trackChanges(term.table)
+		c.assignFreezeVersion(next.version)
 	}
 	term.table = next
 }
 
-// onlyAdds tells whether nothing has changed from one table to the next but that instances and services were added: then the older one is no
-// less true of what it has.
+// onlyAdds tells whether the next table differs only by added instances and services. Then all that the older table says still holds.
 func onlyAdds(before, next table) bool {
 	if before.configurationNumber != next.configurationNumber || !reflect.DeepEqual(before.members, next.members) {
 		return false
@@ -84,12 +83,12 @@
 		after[service.Name] = service
 	}
 	for _, old := range before.services {
-		present, found := after[old.Name]
-		if !found || present.Frozen != old.Frozen || old.Leader.InstanceID != "" && old.Leader != present.Leader {
+		current, found := after[old.Name]
+		if !found || current.Frozen != old.Frozen || old.Leader.InstanceID != "" && old.Leader != current.Leader {
 			return false
 		}
 		for _, instance := range old.Instances {
-			if !slices.Contains(present.Instances, instance) {
+			if !slices.Contains(current.Instances, instance) {
 				return false
 			}
 		}
@@ -97,26 +96,26 @@
 	return true
 }
 
-// follow notes which services have changed since the version before.
-func (t *table) follow(before table) {
+// trackChanges records which services have changed since the previous version.
+func (t *table) trackChanges(previous table) {
 	t.deltas = nil
 	t.digest = feed.DigestOf(t.services)
-	earlier := make(map[string]feed.Service, len(before.services))
-	for _, service := range before.services {
-		earlier[service.Name] = service
+	removed := make(map[string]feed.Service, len(previous.services))
+	for _, service := range previous.services {
+		removed[service.Name] = service
 	}
 	for _, service := range t.services {
-		if old, found := earlier[service.Name]; !found || !sameService(old, service) {
-			t.changed[service.Name] = t.version.Sequence
+		if old, found := removed[service.Name]; !found || !sameService(old, service) {
+			t.changedIn[service.Name] = t.version.Sequence
 		}
-		delete(earlier, service.Name)
+		delete(removed, service.Name)
 	}
-	for name := range earlier {
-		t.changed[name] = t.version.Sequence
+	for name := range removed {
+		t.changedIn[name] = t.version.Sequence
 	}
 }
 
-// buildTable reads the committed control state. The configuration may be large, and is read when its number has changed.
+// buildTable reads the committed control state. The configuration may be large, so it is only read when its number has changed.
 func (c *Controller) buildTable(members []quorum.Member) table {
 	last := c.term.table
 	next := table{
@@ -125,13 +124,13 @@
 		configuration:       last.configuration,
 		members:             members,
 		digest:              last.digest,
-		changed:             last.changed,
+		changedIn:           last.changedIn,
 		deltas:              last.deltas,
-		since:               last.since,
+		createdAt:           last.createdAt,
 	}
 	if state.ConfigurationNumber(c.node) != last.configurationNumber {
 		next.configurationNumber, next.configuration, _ = state.Configuration(c.node)
-		c.limitTenants(next.configuration)
+		c.setTenantLimits(next.configuration)
 	}
 	for _, view := range c.term.services {
 		_, frozen := c.term.freezes[view.Name]
@@ -156,45 +155,45 @@
 	return a.Name == b.Name && a.Leader == b.Leader && a.Frozen == b.Frozen && slices.Equal(a.Instances, b.Instances)
 }
 
-// followFreezes takes over from the failover which services are frozen, and tells whether that has changed.
-func (c *Controller) followFreezes() bool {
+// syncFreezes updates the frozen services from the failover manager, and tells whether they have changed.
+func (c *Controller) syncFreezes() bool {
 	changes := c.term.failover.FreezeChanges()
-	if changes == c.term.freezesSeen && !c.term.table.dirty {
+	if changes == c.term.freezeChangesSeen && !c.term.table.isDirty {
 		return false
 	}
-	c.term.freezesSeen = changes
+	c.term.freezeChangesSeen = changes
 	changed := false
-	kept := 0
+	frozenCount := 0
 	for _, view := range c.term.services {
-		number, frozen := c.term.failover.Frozen(view.Name)
-		known, was := c.term.freezes[view.Name]
-		if frozen {
-			kept++
+		number, isFrozen := c.term.failover.Frozen(view.Name)
+		known, wasFrozen := c.term.freezes[view.Name]
+		if isFrozen {
+			frozenCount++
 		}
-		if frozen == was && (!frozen || known.number == number) {
+		if isFrozen == wasFrozen && (!isFrozen || known.number == number) {
 			continue
 		}
 		changed = true
 		delete(c.term.freezes, view.Name)
-		if frozen {
+		if isFrozen {
 			c.term.freezes[view.Name] = freeze{number: number}
 		}
 	}
-	if kept != len(c.term.freezes) {
-		c.dropFreezesOfGoneServices()
+	if frozenCount != len(c.term.freezes) {
+		c.dropFreezesOfRemovedServices()
 	}
 	return changed
 }
 
-func (c *Controller) dropFreezesOfGoneServices() {
+func (c *Controller) dropFreezesOfRemovedServices() {
 	maps.DeleteFunc(c.term.freezes, func(name string, _ freeze) bool {
 		_, frozen := c.term.failover.Frozen(name)
 		return !frozen
 	})
 }
 
-// placeFreezes notes which version of the table brings the new freezes.
-func (c *Controller) placeFreezes(version feed.Version) {
+// assignFreezeVersion records which version of the table is the first to have the new freezes.
+func (c *Controller) assignFreezeVersion(version feed.Version) {
 	for name, frozen := range c.term.freezes {
 		if frozen.version == (feed.Version{}) {
 			frozen.version = version
@@ -203,9 +202,9 @@
 	}
 }
 
-// freezeUnplaced tells whether a freeze is in no version of the table yet. One that ended and began again between two
-// versions changes nothing else.
-func (c *Controller) freezeUnplaced() bool {
+// hasUnpublishedFreeze tells whether a freeze is in no version of the table yet. A freeze that ended and began again between two versions
+// doesn't change the contents of the table, so comparing these isn't enough.
+func (c *Controller) hasUnpublishedFreeze() bool {
 	for _, frozen := range c.term.freezes {
 		if frozen.version == (feed.Version{}) {
 			return true
@@ -223,8 +222,8 @@
 	return names
 }
 
-// forGateway is the table as one gateway gets it: what has changed since the one that it works by, and without a configuration that it
-// holds already.
+// forGateway returns the table to send to a gateway: the changes since the version that it works by, without the configuration if it
+// already holds that.
 func (t *table) forGateway(request feed.WatchRequest) *feed.Table {
 	answer := *t.servicesFor(request)
 	answer.Version = t.version
@@ -247,21 +246,21 @@
 	return &feed.Table{Services: t.services}
 }
 
-// changesSince is made once for all gateways that work by the same version.
+// changesSince returns the changes since an earlier version. They are computed once for all gateways that work by that version.
 func (t *table) changesSince(sequence uint64) *feed.Table {
-	if made, found := t.deltas[sequence]; found {
-		return made
+	if delta, found := t.deltas[sequence]; found {
+		return delta
 	}
 	delta := &feed.Table{Base: feed.Version{Epoch: t.version.Epoch, Sequence: sequence}}
 	present := make(map[string]bool, len(t.services))
 	for _, service := range t.services {
 		present[service.Name] = true
-		if t.changed[service.Name] > sequence {
+		if t.changedIn[service.Name] > sequence {
 			delta.Services = append(delta.Services, service)
 		}
 	}
-	for name, at := range t.changed {
-		if at > sequence && !present[name] {
+	for name, changedIn := range t.changedIn {
+		if changedIn > sequence && !present[name] {
 			delta.Gone = append(delta.Gone, name)
 		}
 	}
--- a/control/controller/table_test.go
+++ b/control/controller/table_test.go
@@ -16,7 +16,7 @@
 	is.True(w.until(patience, func() bool { return w.primary() != nil }))
 	c := w.primary().controller
 	intent := failover.Intent{Service: "s", InstanceID: "i1", Term: 3}
-	c.queue(command{kind: changeFailover, change: failover.Change{Request: 1, Intent: &intent}})
+	c.enqueue(command{kind: changeFailover, change: failover.Change{Request: 1, Intent: &intent}})
 	for len(c.term.table.services) == 0 {
 		w.run(time.Millisecond)
 		is.True(w.now < patience)
--- a/control/controller/watches.go
+++ b/control/controller/watches.go
@@ -8,24 +8,24 @@
 	"eiderway/control/feed"
 )
 
-// watch is a gateway's question that waits for news or for its end.
+// watch is a gateway's request that waits for a newer table, at most until its deadline.
 type watch struct {
-	call    CallID
-	request feed.WatchRequest
-	until   time.Duration
-	gone    bool // the gateway waits no more
+	call        CallID
+	request     feed.WatchRequest
+	deadline    time.Duration
+	isAbandoned bool // the gateway has gone
 }
 
-func (c *Controller) takeWatch(in Watch) {
+func (c *Controller) handleWatch(in Watch) {
 	if c.term == nil {
 		c.refuseWatch(in.Call)
 		return
 	}
 	if in.Request.Operations != nil {
-		c.takeOperations(in)
+		c.handleOperations(in)
 		return
 	}
-	c.term.grants.ask(in.Request)
+	c.term.leases.noteRequest(in.Request)
 	for _, report := range in.Request.Reports {
 		c.stepFailover(failover.GatewayReport{Gateway: in.Request.Gateway, Report: report})
 	}
@@ -34,16 +34,16 @@
 		return
 	}
 	if c.term.epoch < in.Request.Applied.Epoch {
-		c.refuseWatch(in.Call) // it has been served in a later epoch, so this one is over
+		c.refuseWatch(in.Call) // a primary of a later epoch has answered the gateway, so this term is over
 		return
 	}
 	wait := min(max(in.Request.Wait, 0), c.settings.MaxWatchWait)
-	c.dropOlderWatch(in.Request.Gateway)
-	c.term.watches = append(c.term.watches, &watch{call: in.Call, request: in.Request, until: c.now + wait})
+	c.supersedeWatch(in.Request.Gateway)
+	c.term.watches = append(c.term.watches, &watch{call: in.Call, request: in.Request, deadline: c.now + wait})
 }
 
-// dropOlderWatch answers an earlier question of the same gateway, which has been overtaken.
-func (c *Controller) dropOlderWatch(gateway string) {
+// supersedeWatch refuses an earlier request of the same gateway: a later one has taken its place.
+func (c *Controller) supersedeWatch(gateway string) {
 	for index, waiting := range c.term.watches {
 		if waiting.request.Gateway == gateway {
 			c.term.watches = append(c.term.watches[:index:index], c.term.watches[index+1:]...)
@@ -53,7 +53,7 @@
 	}
 }
 
-// abandon forgets a caller who has gone.
+// abandon drops the call of a caller that has gone.
 func (c *Controller) abandon(call CallID) {
 	c.calls.drop(call)
 	if c.term == nil {
@@ -65,20 +65,20 @@
 			return
 		}
 	}
-	for _, confirmation := range c.term.asked {
+	for _, confirmation := range c.term.confirmations {
 		confirmation.abandon(call)
 	}
 }
 
-// answerWatches moves the questions that are due to the next confirmation.
-func (c *Controller) answerWatches() {
-	if c.term.doubting || c.term.table.version.Sequence == 0 || !slices.ContainsFunc(c.term.watches, c.due) {
+// confirmDueWatches has the requests that are due wait for the next confirmation.
+func (c *Controller) confirmDueWatches() {
+	if c.term.restorePending || c.term.table.version.Sequence == 0 || !slices.ContainsFunc(c.term.watches, c.isDue) {
 		return
 	}
 	var waiting []*watch
 	for _, watch := range c.term.watches {
-		if c.due(watch) {
-			c.ask(question{watch: watch})
+		if c.isDue(watch) {
+			c.awaitConfirmation(pendingReply{watch: watch})
 			continue
 		}
 		waiting = append(waiting, watch)
@@ -86,13 +86,14 @@
 	c.term.watches = waiting
 }
 
-func (c *Controller) due(watch *watch) bool {
-	return c.now >= watch.until || watch.request.Applied.Less(c.term.table.version)
+func (c *Controller) isDue(watch *watch) bool {
+	return c.now >= watch.deadline || watch.request.Applied.Less(c.term.table.version)
 }
 
-// answerWatch gives the newest table and a lease. A majority has confirmed this controller since the question came.
+// answerWatch grants a lease and sends the newest table if the gateway has an older one. A majority has confirmed this primary since the
+// request came.
 func (c *Controller) answerWatch(watch *watch) {
-	if watch.gone {
+	if watch.isAbandoned {
 		return
 	}
 	if watch.request.Operations != nil {
@@ -108,17 +109,17 @@
 	if watch.request.Applied.Less(c.term.table.version) {
 		answer.Table = c.term.table.forGateway(watch.request)
 	}
-	c.term.grants.give(c.now, watch.request)
+	c.term.leases.grant(c.now, watch.request)
 	c.effects.WatchReplies = append(c.effects.WatchReplies, WatchReply{Call: watch.call, Answer: answer})
 }
 
-func (c *Controller) refuseAskedWatch(watch *watch) {
-	if !watch.gone {
+func (c *Controller) refuseUnlessAbandoned(watch *watch) {
+	if !watch.isAbandoned {
 		c.refuseWatch(watch.call)
 	}
 }
 
-// refuseWatch says who leads, as far as this controller knows. It gives no lease.
+// refuseWatch grants no lease and names the primary, as far as this controller knows it.
 func (c *Controller) refuseWatch(call CallID) {
 	answer := feed.WatchAnswer{NotPrimary: true, Members: c.node.View().Voters}
 	if primary, known := c.node.PrimaryMember(); known {
--- a/control/controller/watches_test.go
+++ b/control/controller/watches_test.go
@@ -36,7 +36,7 @@
 		w.give(a, Abandon{Call: 1 << 30})
 		w.run(time.Second)
 		is.Equal(asked.replies, 0)
-		is.Equal(len(a.controller.term.grants.gateways), 0)
+		is.Equal(len(a.controller.term.leases.gateways), 0)
 	}
 }
 
@@ -47,11 +47,11 @@
 	first := w.askDirectly(a, 1<<30, 500*time.Millisecond)
 	second := w.askDirectly(a, 1<<30+1, 500*time.Millisecond)
 	is.Equal(first.replies, 1)
-	is.Equal(len(a.controller.term.grants.gateways), 0)
+	is.Equal(len(a.controller.term.leases.gateways), 0)
 	w.run(time.Second)
 	is.Equal(first.replies, 1)
 	is.Equal(second.replies, 1)
-	is.Equal(len(a.controller.term.grants.gateways), 1)
+	is.Equal(len(a.controller.term.leases.gateways), 1)
 }
 
 // A gateway that works by a table of a later epoch shows that this primary is deposed: it is sent away at once.
