--- a/control/controller/commands_test.go
+++ b/control/controller/commands_test.go
@@ -9,58 +9,58 @@
 	"github.com/matryer/is"
 )
 
-// While a change is under way a bounded number of commands waits; the rest is sent away at once, and nobody is forgotten.
-func TestWaitingCommandsAreBounded(t *testing.T) {
+// While a change is being committed, callers beyond the queue's bound are answered 503 at once. Those in the queue are all answered later.
+func TestQueuedCommandsAreBounded(t *testing.T) {
 	is := is.New(t)
-	w, a := leading(t)
-	w.sendOrder(a, 1, "x")
-	var beats []*call
+	d, a := newDeploymentWithPrimary(t)
+	d.sendConfiguration(a, 1, "x")
+	var heartbeats []*testCall
 	for index := range maxQueuedCommands + 50 {
-		one := instance{id: fmt.Sprintf("i%d", index%10), seq: uint64(index)}
-		beats = append(beats, w.sendBeat(a, one.beat()))
+		instance := instance{id: fmt.Sprintf("i%d", index%10), seq: uint64(index)}
+		heartbeats = append(heartbeats, d.sendHeartbeat(a, instance.heartbeat()))
 	}
-	for index, beat := range beats {
+	for index, heartbeat := range heartbeats {
 		if index < maxQueuedCommands {
-			is.Equal(beat.outcome(), "none")
+			is.Equal(heartbeat.outcome(), "none")
 			continue
 		}
-		is.Equal(beat.reply.Status, http.StatusServiceUnavailable)
+		is.Equal(heartbeat.reply.Status, http.StatusServiceUnavailable)
 	}
 	is.Equal(len(a.controller.term.commands), maxQueuedCommands)
-	w.run(time.Second)
-	for _, beat := range beats[:maxQueuedCommands] {
-		is.Equal(beat.outcome(), "200")
+	d.run(time.Second)
+	for _, heartbeat := range heartbeats[:maxQueuedCommands] {
+		is.Equal(heartbeat.outcome(), "200")
 	}
-	is.Equal(w.broken, "")
+	is.Equal(d.violation, "")
 }
 
-// What was decided on the committed state is proposed on it: no batch is decided while a change is under way.
+// Commands are applied to the committed state, so no batch may start while an earlier change isn't committed yet.
 func TestOneBatchAtATime(t *testing.T) {
 	is := is.New(t)
-	w, a := leading(t)
-	first := w.sendOrder(a, 1, "x")
-	second := w.sendOrder(a, 1, "y")
-	w.sendFetch(a)
+	d, a := newDeploymentWithPrimary(t)
+	first := d.sendConfiguration(a, 1, "x")
+	second := d.sendConfiguration(a, 1, "y")
+	d.sendFetch(a)
 	is.Equal(len(a.controller.term.batch.commands), 1)
 	is.Equal(len(a.controller.term.commands), 1)
-	w.run(time.Second)
+	d.run(time.Second)
 	is.Equal(first.outcome(), "200")
 	is.Equal(second.outcome(), "409")
 }
 
-// A caller that can't be served is not kept waiting for longer than it waits itself.
-func TestCallsEndInTime(t *testing.T) {
+// A caller that can't be served gets a 503 within the call timeout, and its command is dropped.
+func TestCallsAreAnsweredWithinTheTimeout(t *testing.T) {
 	is := is.New(t)
-	w, a := leading(t)
-	w.isolate(a.name)
-	calls := []*call{w.sendOrder(a, 1, "x"), w.sendFetch(a), w.sendLeave(a, "i1")}
-	w.run(callWait + tickPause)
-	for _, made := range calls {
-		is.Equal(made.outcome(), "503")
-		is.True(made.answered-made.sent <= callWait+tickPause)
+	d, a := newDeploymentWithPrimary(t)
+	d.isolate(a.name)
+	calls := []*testCall{d.sendConfiguration(a, 1, "x"), d.sendFetch(a), d.sendLeave(a, "i1")}
+	d.run(callTimeout + tickInterval)
+	for _, call := range calls {
+		is.Equal(call.outcome(), "503")
+		is.True(call.answeredAt-call.sentAt <= callTimeout+tickInterval)
 	}
 	is.Equal(len(a.controller.calls.open), 0)
-	for _, waiting := range a.controller.term.commands {
-		is.Equal(waiting.call, CallID(0)) // only what the controller itself wants
+	for _, queued := range a.controller.term.commands {
+		is.Equal(queued.call, CallID(0)) // only the controller's own commands are left
 	}
 }
--- a/control/controller/failover.go
+++ b/control/controller/failover.go
@@ -64,7 +64,7 @@
 func (t *term) globalNumber(local uint64) uint64 { return uint64(t.epoch)<<localNumberBits | local }
 
 // localNumber returns the failover manager's own number, and whether it is from this term.
-func (t *term) localNumber(global uint64) (local uint64, isCurrent bool) {
+func (t *term) localNumber(global uint64) (uint64, bool) {
 	return global & (1<<localNumberBits - 1), global>>localNumberBits == uint64(t.epoch)
 }
 
--- a/control/controller/gateways_test.go
+++ b/control/controller/gateways_test.go
@@ -9,231 +9,231 @@
 	"eiderway/control/feed"
 )
 
-// gateway asks the controllers for tables and works by them, as simply as the rules allow.
+// gateway requests tables from the controllers and works by them. It is the simplest gateway that keeps the rules.
 type gateway struct {
-	name    string
-	life    int
-	up      bool
-	frozen  bool
-	slow    time.Duration // from a table's coming to its being applied
-	ask     int           // number of the question that is out
-	sentAt  time.Duration
-	request feed.WatchRequest
-	target  int // among the machines
-	table   feed.Table
-	number  int64 // of the configuration held
-	until   time.Duration
-	answers int
-}
-
-func (g *gateway) id() string { return fmt.Sprintf("%s#%d", g.name, g.life) }
-
-func (w *world) addGateway(name string) {
-	one := &gateway{name: name}
-	w.gateways = append(w.gateways, one)
-	w.startGateway(one)
-}
-
-func (w *world) startGateway(one *gateway) {
-	*one = gateway{name: one.name, life: one.life + 1, up: true, slow: one.slow, ask: one.ask}
-	w.askNext(one, 0)
-}
-
-func (w *world) gateway(name string) *gateway {
-	for _, one := range w.gateways {
-		if one.name == name {
-			return one
+	name                string
+	process             int
+	isUp                bool
+	isFrozen            bool
+	applyDelay          time.Duration // between the arrival of a table and the next request
+	requestNumber       int           // number of the last request; answers to earlier ones are ignored
+	sentAt              time.Duration
+	request             feed.WatchRequest
+	target              int // index of the machine to ask
+	table               feed.Table
+	configurationNumber int64 // of the configuration held
+	leaseUntil          time.Duration
+	answers             int
+}
+
+func (g *gateway) id() string { return fmt.Sprintf("%s#%d", g.name, g.process) }
+
+func (d *deployment) addGateway(name string) {
+	gateway := &gateway{name: name}
+	d.gateways = append(d.gateways, gateway)
+	d.startGateway(gateway)
+}
+
+func (d *deployment) startGateway(g *gateway) {
+	*g = gateway{name: g.name, process: g.process + 1, isUp: true, applyDelay: g.applyDelay, requestNumber: g.requestNumber}
+	d.scheduleRequest(g, 0)
+}
+
+func (d *deployment) gateway(name string) *gateway {
+	for _, gateway := range d.gateways {
+		if gateway.name == name {
+			return gateway
 		}
 	}
 	return nil
 }
 
-func (w *world) askNext(one *gateway, pause time.Duration) {
-	one.ask++
-	ask := one.ask
-	w.after(pause, func() { w.question(one, ask) })
+func (d *deployment) scheduleRequest(gateway *gateway, pause time.Duration) {
+	gateway.requestNumber++
+	requestNumber := gateway.requestNumber
+	d.after(pause, func() { d.sendRequest(gateway, requestNumber) })
 }
 
-func (w *world) question(one *gateway, ask int) {
-	if !one.up || one.ask != ask {
+func (d *deployment) sendRequest(gateway *gateway, requestNumber int) {
+	if !gateway.isUp || gateway.requestNumber != requestNumber {
 		return
 	}
-	if one.frozen {
-		w.after(tickPause, func() { w.question(one, ask) })
+	if gateway.isFrozen {
+		d.after(tickInterval, func() { d.sendRequest(gateway, requestNumber) })
 		return
 	}
-	one.sentAt = w.now
-	one.request = feed.WatchRequest{
-		Gateway:       one.id(),
-		Name:          one.name,
-		Applied:       one.table.Version,
-		Configuration: one.number,
+	gateway.sentAt = d.now
+	gateway.request = feed.WatchRequest{
+		Gateway:       gateway.id(),
+		Name:          gateway.name,
+		Applied:       gateway.table.Version,
+		Configuration: gateway.configurationNumber,
 		Wait:          600 * time.Millisecond,
 	}
-	w.askController(one, ask, one.request)
-	w.after(1600*time.Millisecond, func() {
-		if one.up && one.ask == ask {
-			one.target++
-			w.askNext(one, 0)
+	d.sendToController(gateway, requestNumber, gateway.request)
+	d.after(1600*time.Millisecond, func() {
+		if gateway.isUp && gateway.requestNumber == requestNumber {
+			gateway.target++
+			d.scheduleRequest(gateway, 0)
 		}
 	})
 }
 
-// watching is a question of a gateway at a controller.
-type watching struct {
-	gateway *gateway
-	ask     int
-	life    int
-	request feed.WatchRequest
-	replies int
-	answer  feed.WatchAnswer // the last
-	at      time.Duration    // when it was given
+// watchRecord is a gateway's request to a controller, with its answer.
+type watchRecord struct {
+	gateway       *gateway
+	requestNumber int
+	process       int
+	request       feed.WatchRequest
+	replies       int
+	answer        feed.WatchAnswer // the last one
+	at            time.Duration    // when the last answer was given
 }
 
-func (w *world) askController(one *gateway, ask int, request feed.WatchRequest) {
-	to := w.machines[one.target%len(w.machines)]
-	if w.cut[link{one.name, to.name}] || to.controller == nil {
+func (d *deployment) sendToController(gateway *gateway, requestNumber int, request feed.WatchRequest) {
+	to := d.machines[gateway.target%len(d.machines)]
+	if d.cutLinks[link{gateway.name, to.name}] || to.controller == nil {
 		return
 	}
-	w.lastCall++
-	number := w.lastCall
-	w.watchings()[number] = &watching{gateway: one, ask: ask, life: one.life, request: request}
-	w.after(w.delay(), func() {
+	d.lastCall++
+	id := d.lastCall
+	d.watchRecords()[id] = &watchRecord{gateway: gateway, requestNumber: requestNumber, process: gateway.process, request: request}
+	d.after(d.delay(), func() {
 		if to.controller != nil {
-			w.give(to, Watch{Call: number, Request: request})
+			d.deliver(to, Watch{Call: id, Request: request})
 		}
 	})
 }
 
-func (w *world) watchings() map[CallID]*watching {
-	if w.questions == nil {
-		w.questions = map[CallID]*watching{}
+func (d *deployment) watchRecords() map[CallID]*watchRecord {
+	if d.watches == nil {
+		d.watches = map[CallID]*watchRecord{}
 	}
-	return w.questions
+	return d.watches
 }
 
-func (w *world) watchReplied(by *machine, reply WatchReply) {
-	asked := w.watchings()[reply.Call]
-	if asked == nil {
-		w.fail("%s answers a gateway that has not asked", by.name)
+func (d *deployment) handleWatchReply(by *machine, reply WatchReply) {
+	record := d.watchRecords()[reply.Call]
+	if record == nil {
+		d.fail("%s answers a watch request that was never sent", by.name)
 		return
 	}
-	asked.replies++
-	asked.answer, asked.at = reply.Answer, w.now
-	if asked.replies > 1 {
-		w.fail("%s answers a gateway's question twice", by.name)
+	record.replies++
+	record.answer, record.at = reply.Answer, d.now
+	if record.replies > 1 {
+		d.fail("%s answers a watch request twice", by.name)
 	}
-	if w.cut[link{by.name, asked.gateway.name}] {
+	if d.cutLinks[link{by.name, record.gateway.name}] {
 		return
 	}
-	w.after(w.delay(), func() { w.takeAnswer(asked, reply.Answer) })
+	d.after(d.delay(), func() { d.handleAnswer(record, reply.Answer) })
 }
 
-func (w *world) takeAnswer(asked *watching, answer feed.WatchAnswer) {
-	one := asked.gateway
-	if !one.up || one.life != asked.life || one.ask != asked.ask {
+func (d *deployment) handleAnswer(record *watchRecord, answer feed.WatchAnswer) {
+	gateway := record.gateway
+	if !gateway.isUp || gateway.process != record.process || gateway.requestNumber != record.requestNumber {
 		return
 	}
-	if one.frozen {
-		w.after(tickPause, func() { w.takeAnswer(asked, answer) })
+	if gateway.isFrozen {
+		d.after(tickInterval, func() { d.handleAnswer(record, answer) })
 		return
 	}
 	if answer.NotPrimary {
-		w.follow(one, answer)
+		d.followRedirect(gateway, answer)
 		return
 	}
-	one.answers++
-	w.judgeTable(one, answer)
+	gateway.answers++
+	d.checkTable(gateway, answer)
 	pause := time.Duration(0)
 	if answer.Table != nil {
-		pause = one.slow
-		w.takeTable(one, *answer.Table)
+		pause = gateway.applyDelay
+		d.applyTable(gateway, *answer.Table)
 	}
-	one.until = max(one.until, one.sentAt+answer.Lease)
-	w.judgeLeaders(one)
-	w.judgeDrains(one)
-	w.askNext(one, pause)
+	gateway.leaseUntil = max(gateway.leaseUntil, gateway.sentAt+answer.Lease)
+	d.checkLeaders(gateway)
+	d.checkDrains(gateway)
+	d.scheduleRequest(gateway, pause)
 }
 
-func (w *world) follow(one *gateway, answer feed.WatchAnswer) {
-	one.target++
-	for index, to := range w.machines {
-		if to.name+":1" == answer.Primary.Address {
-			one.target = index
+func (d *deployment) followRedirect(gateway *gateway, answer feed.WatchAnswer) {
+	gateway.target++
+	for index, machine := range d.machines {
+		if machine.name+":1" == answer.Primary.Address {
+			gateway.target = index
 		}
 	}
-	w.askNext(one, 100*time.Millisecond)
+	d.scheduleRequest(gateway, 100*time.Millisecond)
 }
 
-func (w *world) takeTable(one *gateway, table feed.Table) {
-	if table.ConfigurationNumber > one.number {
-		one.number = table.ConfigurationNumber
+func (d *deployment) applyTable(gateway *gateway, table feed.Table) {
+	if table.ConfigurationNumber > gateway.configurationNumber {
+		gateway.configurationNumber = table.ConfigurationNumber
 		if order, err := configuration.Parse(table.Configuration); err == nil {
-			w.seenInForce(order)
+			d.noteInForce(order)
 		}
 	}
-	one.table = table
+	gateway.table = table
 }
 
-func (w *world) judgeTable(one *gateway, answer feed.WatchAnswer) {
+func (d *deployment) checkTable(gateway *gateway, answer feed.WatchAnswer) {
 	table := answer.Table
 	if table == nil {
 		return
 	}
-	if !one.table.Version.Less(table.Version) {
-		w.fail("%s works by %v and gets %v", one.name, one.table.Version, table.Version)
+	if !gateway.table.Version.Less(table.Version) {
+		d.fail("%s has table %v and gets %v", gateway.name, gateway.table.Version, table.Version)
 	}
-	if table.ConfigurationNumber < one.number {
-		w.fail("%s holds configuration %d and gets %d", one.name, one.number, table.ConfigurationNumber)
+	if table.ConfigurationNumber < gateway.configurationNumber {
+		d.fail("%s holds configuration %d and gets %d", gateway.name, gateway.configurationNumber, table.ConfigurationNumber)
 	}
-	if isNew := table.ConfigurationNumber != one.number; isNew != (table.Configuration != nil) {
-		w.fail("%s holds configuration %d and gets %d with %d bytes", one.name, one.number,
+	if isNew := table.ConfigurationNumber != gateway.configurationNumber; isNew != (table.Configuration != nil) {
+		d.fail("%s holds configuration %d and gets %d with %d bytes", gateway.name, gateway.configurationNumber,
 			table.ConfigurationNumber, len(table.Configuration))
 	}
 }
 
 func (g *gateway) service(name string) feed.Service {
-	for _, one := range g.table.Services {
-		if one.Name == name {
-			return one
+	for _, service := range g.table.Services {
+		if service.Name == name {
+			return service
 		}
 	}
 	return feed.Service{}
 }
 
-// worksAt tells whether the gateway may start a statement at the leader of the service, or may pass on its success.
-func (w *world) worksAt(one *gateway, service string) bool {
-	known := one.service(service)
-	return one.up && w.now < one.until && !known.Frozen && known.Leader.InstanceID != ""
+// mayUseLeader tells whether the gateway may start a statement at the leader of the service, or report a statement's success to a client.
+func (d *deployment) mayUseLeader(gateway *gateway, service string) bool {
+	known := gateway.service(service)
+	return gateway.isUp && d.now < gateway.leaseUntil && !known.Frozen && known.Leader.InstanceID != ""
 }
 
-// judgePause: a replica is paused only when every gateway keeps the freeze.
-func (w *world) judgePause(by *machine, probe failover.Probe) {
-	for _, one := range w.gateways {
-		if w.worksAt(one, probe.Service) {
-			w.fail("%s pauses %s while %s works at %s by %v", by.name, probe.InstanceID, one.name,
-				one.service(probe.Service).Leader.InstanceID, one.table.Version)
+// checkPause checks that a replica is paused only when no gateway may use the leader any more.
+func (d *deployment) checkPause(by *machine, probe failover.Probe) {
+	for _, gateway := range d.gateways {
+		if d.mayUseLeader(gateway, probe.Service) {
+			d.fail("%s pauses %s while %s uses leader %s by table %v", by.name, probe.InstanceID, gateway.name,
+				gateway.service(probe.Service).Leader.InstanceID, gateway.table.Version)
 		}
 	}
 }
 
-// judgeLeaders: gateways work at one leader at a time.
-func (w *world) judgeLeaders(one *gateway) {
-	for _, other := range w.gateways {
-		a, b := one.service("s").Leader, other.service("s").Leader
-		if w.worksAt(one, "s") && w.worksAt(other, "s") && a.InstanceID != b.InstanceID {
-			w.fail("%s works at %s by %v, and %s at %s by %v", one.name, a.InstanceID, one.table.Version,
+// checkLeaders checks that no two gateways use different leaders at the same time.
+func (d *deployment) checkLeaders(gateway *gateway) {
+	for _, other := range d.gateways {
+		a, b := gateway.service("s").Leader, other.service("s").Leader
+		if d.mayUseLeader(gateway, "s") && d.mayUseLeader(other, "s") && a.InstanceID != b.InstanceID {
+			d.fail("%s uses leader %s by table %v, and %s uses %s by table %v", gateway.name, a.InstanceID, gateway.table.Version,
 				other.name, b.InstanceID, other.table.Version)
 		}
 	}
 }
 
-// judgeDrains: who asks after a drain or a leave was acknowledged learns of it.
-func (w *world) judgeDrains(one *gateway) {
-	for _, service := range one.table.Services {
+// checkDrains checks that a gateway that sends its request after a drain or a leave was acknowledged learns of it.
+func (d *deployment) checkDrains(gateway *gateway) {
+	for _, service := range gateway.table.Services {
 		for _, known := range service.Instances {
-			if at, found := w.drained[known.ID]; found && at < one.sentAt && !known.Draining {
-				w.fail("%s asked at %s and takes %s, whose drain was acknowledged at %s, for ready", one.name, one.sentAt,
+			if at, found := d.drainAcknowledgedAt[known.ID]; found && at < gateway.sentAt && !known.Draining {
+				d.fail("%s asked at %s and takes %s, whose drain was acknowledged at %s, for ready", gateway.name, gateway.sentAt,
 					known.ID, at)
 			}
 		}
--- a/control/controller/instances_test.go
+++ b/control/controller/instances_test.go
@@ -9,48 +9,48 @@
 	"eiderway/control/registry"
 )
 
-const beatPause = 500 * time.Millisecond
+const heartbeatInterval = 500 * time.Millisecond
 
-// instance is a database server that beats to whoever leads the controllers, and answers probes.
+// instance is a database server that sends heartbeats to the primary controller and answers probes.
 type instance struct {
-	id       string
-	service  string
-	primary  bool
-	term     uint64
-	held     uint64
-	up       bool
-	draining bool
-	seq      uint64
+	id         string
+	service    string
+	isPrimary  bool
+	term       uint64
+	heldTerm   uint64 // the highest term that it has been told
+	isUp       bool
+	isDraining bool
+	seq        uint64
 }
 
-func (w *world) addInstance(id string, primary bool) *instance {
-	one := &instance{id: id, primary: primary, term: 1, held: 1, up: true}
-	w.instances = append(w.instances, one)
-	w.beats(one)
-	return one
+func (d *deployment) addInstance(id string, primary bool) *instance {
+	instance := &instance{id: id, isPrimary: primary, term: 1, heldTerm: 1, isUp: true}
+	d.instances = append(d.instances, instance)
+	d.scheduleHeartbeat(instance)
+	return instance
 }
 
-func (w *world) instance(id string) *instance {
-	for _, one := range w.instances {
-		if one.id == id {
-			return one
+func (d *deployment) instance(id string) *instance {
+	for _, instance := range d.instances {
+		if instance.id == id {
+			return instance
 		}
 	}
 	return nil
 }
 
-func (w *world) beats(one *instance) {
-	w.after(beatPause, func() {
-		if leads := w.primary(); leads != nil && one.up {
-			one.seq++
-			w.sendBeat(leads, one.beat())
+func (d *deployment) scheduleHeartbeat(instance *instance) {
+	d.after(heartbeatInterval, func() {
+		if primary := d.primary(); primary != nil && instance.isUp {
+			instance.seq++
+			d.sendHeartbeat(primary, instance.heartbeat())
 		}
-		w.beats(one)
+		d.scheduleHeartbeat(instance)
 	})
 }
 
-func (i *instance) beat() registry.Heartbeat {
-	beat := registry.Heartbeat{
+func (i *instance) heartbeat() registry.Heartbeat {
+	heartbeat := registry.Heartbeat{
 		InstanceID:    i.id,
 		TargetService: cmp.Or(i.service, "s"),
 		Address:       i.id + ":5",
@@ -59,127 +59,127 @@
 		DBRole:        registry.Replica,
 		CallSeq:       i.seq,
 	}
-	if i.primary {
-		beat.DBRole = registry.Primary
+	if i.isPrimary {
+		heartbeat.DBRole = registry.Primary
 	}
-	if i.draining {
-		beat.OperState = registry.Draining
+	if i.isDraining {
+		heartbeat.OperState = registry.Draining
 	}
-	return beat
+	return heartbeat
 }
 
 func (i *instance) status() failover.Status {
 	return failover.Status{
-		Primary:  i.primary,
+		Primary:  i.isPrimary,
 		Term:     i.term,
-		TermHeld: i.held,
+		TermHeld: i.heldTerm,
 		Received: failover.Position{Term: i.term, Number: 7},
 	}
 }
 
-// probe carries a probe out; a dead instance stays silent.
-func (w *world) probe(by *machine, probe failover.Probe) {
-	life := by.life
-	started := w.now
+// probe carries out a probe. An instance that is down doesn't answer.
+func (d *deployment) probe(by *machine, probe failover.Probe) {
+	process := by.process
+	started := d.now
 	if by.probed[probe.Number] {
-		w.fail("%s uses the number of a probe twice", by.name)
+		d.fail("%s uses the number of a probe twice", by.name)
 	}
 	by.probed[probe.Number] = true
 	if probe.Kind == failover.AskPause {
-		w.pauses++
-		w.judgePause(by, probe)
+		d.pauseCount++
+		d.checkPause(by, probe)
 	}
-	one := w.instance(probe.InstanceID)
-	if one == nil || !one.up {
-		w.after(300*time.Millisecond, func() {
-			w.probed(by, life, failover.ProbeResult{Number: probe.Number, Answer: failover.Silent, Started: started})
+	instance := d.instance(probe.InstanceID)
+	if instance == nil || !instance.isUp {
+		d.after(300*time.Millisecond, func() {
+			d.probed(by, process, failover.ProbeResult{Number: probe.Number, Answer: failover.Silent, Started: started})
 		})
 		return
 	}
-	w.after(w.probeTime, func() {
-		w.carryOut(one, probe)
-		w.probed(by, life, failover.ProbeResult{
-			Number: probe.Number, Answer: failover.Answered, Status: one.status(), Started: started,
+	d.after(d.probeTime, func() {
+		d.applyProbe(instance, probe)
+		d.probed(by, process, failover.ProbeResult{
+			Number: probe.Number, Answer: failover.Answered, Status: instance.status(), Started: started,
 		})
 	})
 }
 
-func (w *world) probed(by *machine, life int, result failover.ProbeResult) {
-	if by.life == life && by.controller != nil {
-		w.give(by, ProbeFinished{Result: result})
+func (d *deployment) probed(by *machine, process int, result failover.ProbeResult) {
+	if by.process == process && by.controller != nil {
+		d.deliver(by, ProbeFinished{Result: result})
 	}
 }
 
-func (w *world) carryOut(one *instance, probe failover.Probe) {
+func (d *deployment) applyProbe(instance *instance, probe failover.Probe) {
 	switch probe.Kind {
 	case failover.AskPause:
-		one.held = max(one.held, probe.Term)
+		instance.heldTerm = max(instance.heldTerm, probe.Term)
 	case failover.AskStepDown:
-		one.primary = one.primary && one.term >= probe.Term
+		instance.isPrimary = instance.isPrimary && instance.term >= probe.Term
 	}
 }
 
 // callPlatform promotes an instance.
-func (w *world) callPlatform(by *machine, made failover.PlatformCall) {
-	life := by.life
-	w.platform++
-	w.after(300*time.Millisecond, func() {
-		w.promote(made.InstanceID)
-		if by.life == life && by.controller != nil {
-			w.give(by, PlatformCallFinished{Result: failover.PlatformResult{Number: made.Number, Outcome: failover.Accepted, Code: 200}})
+func (d *deployment) callPlatform(by *machine, call failover.PlatformCall) {
+	process := by.process
+	d.platformCalls++
+	d.after(300*time.Millisecond, func() {
+		d.promote(call.InstanceID)
+		if by.process == process && by.controller != nil {
+			d.deliver(by, PlatformCallFinished{Result: failover.PlatformResult{Number: call.Number, Outcome: failover.Accepted, Code: 200}})
 		}
 	})
 }
 
-func (w *world) promote(id string) {
+func (d *deployment) promote(id string) {
 	term := uint64(0)
-	for _, one := range w.instances {
-		term = max(term, one.term+1)
-		one.primary = false
+	for _, instance := range d.instances {
+		term = max(term, instance.term+1)
+		instance.isPrimary = false
 	}
-	chosen := w.instance(id)
-	chosen.primary, chosen.term, chosen.held = true, term, max(chosen.held, term)
+	promoted := d.instance(id)
+	promoted.isPrimary, promoted.term, promoted.heldTerm = true, term, max(promoted.heldTerm, term)
 }
 
-// leaver is an instance that comes, drains and leaves, saying so to any controller until it is acknowledged.
+// leaver is an instance that joins, drains and leaves. It reports each step to any controller until that is acknowledged.
 type leaver struct {
-	instance instance
-	leaves   bool
-	told     *call
+	instance  instance
+	isLeaving bool
+	lastCall  *testCall
 }
 
-// leaversCome lets one more come, and each take its next step.
-func (w *world) leaversCome(to *machine) {
-	if len(w.leavers) < mostLeavers {
-		one := &leaver{instance: instance{id: fmt.Sprintf("l%d", len(w.leavers)), service: "t"}}
-		w.leavers = append(w.leavers, one)
+// stepLeavers adds a leaver, up to maxLeavers, and has each one take its next step.
+func (d *deployment) stepLeavers(to *machine) {
+	if len(d.leavers) < maxLeavers {
+		leaver := &leaver{instance: instance{id: fmt.Sprintf("l%d", len(d.leavers)), service: "t"}}
+		d.leavers = append(d.leavers, leaver)
 	}
-	for _, one := range w.leavers {
-		one.step(w, to)
+	for _, leaver := range d.leavers {
+		leaver.step(d, to)
 	}
 }
 
-const mostLeavers = 12
+const maxLeavers = 12
 
-func (l *leaver) step(w *world, to *machine) {
-	if l.told != nil && l.told.outcome() == "200" {
-		l.leaves = l.leaves || l.instance.draining
-		l.instance.draining = true
+func (l *leaver) step(d *deployment, to *machine) {
+	if l.lastCall != nil && l.lastCall.outcome() == "200" {
+		l.isLeaving = l.isLeaving || l.instance.isDraining
+		l.instance.isDraining = true
 	}
 	l.instance.seq++
-	if l.leaves {
-		l.told = w.sendLeave(to, l.instance.id)
+	if l.isLeaving {
+		l.lastCall = d.sendLeave(to, l.instance.id)
 		return
 	}
-	l.told = w.sendBeat(to, l.instance.beat())
+	l.lastCall = d.sendHeartbeat(to, l.instance.heartbeat())
 }
 
-// leadingInstance is the one that leads the service, or the first.
-func (w *world) leadingInstance() *instance {
-	for _, one := range w.instances {
-		if one.primary {
-			return one
+// leaderInstance returns the first instance that is primary, or the first of all.
+func (d *deployment) leaderInstance() *instance {
+	for _, instance := range d.instances {
+		if instance.isPrimary {
+			return instance
 		}
 	}
-	return w.instances[0]
+	return d.instances[0]
 }
--- a/control/controller/operations_test.go
+++ b/control/controller/operations_test.go
@@ -11,158 +11,159 @@
 	"eiderway/control/quota"
 )
 
-// leadingWithTenants is a world whose first primary has a configuration with a tenant that has a limit, and has opened its bank.
-func leadingWithTenants(t *testing.T, seed int64, guards disabledGuards) (*world, *machine) {
+// newDeploymentWithTenants returns a deployment and its first primary, which has a configuration with a limited tenant and an open
+// allocator.
+func newDeploymentWithTenants(t *testing.T, seed int64, guards disabledGuards) (*deployment, *machine) {
 	t.Helper()
-	w := newWorld(seed, 3, 1, guards)
-	if !w.until(patience, func() bool { return w.primary() != nil }) {
-		t.Fatal("nobody leads")
+	d := newDeployment(seed, 3, 1, guards)
+	if !d.runUntil(maxWait, func() bool { return d.primary() != nil }) {
+		t.Fatal("no controller became primary")
 	}
-	leads := w.primary()
-	text := bytes.Replace(body(1, "d"), []byte(`"serviceTable"`),
+	primary := d.primary()
+	text := bytes.Replace(configurationBody(1, "d"), []byte(`"serviceTable"`),
 		[]byte(`"tenantTable":[{"name":"bakers","apiKeys":["flour"],"ratePerS":1000,"burstSize":1000}],"serviceTable"`), 1)
-	made := w.send(&call{to: leads, number: 1, content: "d"}, func(c CallID) Input { return ReplaceConfiguration{Call: c, Body: text} })
-	w.run(2 * time.Second)
-	if made.outcome() != "200" {
-		t.Fatalf("the configuration is answered %s", made.outcome())
+	call := d.sendCall(&testCall{to: primary, number: 1, content: "d"}, func(c CallID) Input { return ReplaceConfiguration{Call: c, Body: text} })
+	d.run(2 * time.Second)
+	if call.outcome() != "200" {
+		t.Fatalf("the configuration is answered %s", call.outcome())
 	}
-	return w, leads
+	return d, primary
 }
 
-// askOperations asks a controller for an operation.
-func (w *world) askOperations(to *machine) *watching {
-	w.lastCall++
+// requestOperations requests one operation from a controller.
+func (d *deployment) requestOperations(to *machine) *watchRecord {
+	d.lastCall++
 	request := feed.WatchRequest{Gateway: "g#1", Operations: &quota.Request{Wants: []quota.Want{{Tenant: "bakers", Operations: 1}}}}
-	asked := &watching{gateway: &gateway{name: "g"}, request: request}
-	w.watchings()[w.lastCall] = asked
-	w.give(to, Watch{Call: w.lastCall, Request: request})
-	return asked
+	record := &watchRecord{gateway: &gateway{name: "g"}, request: request}
+	d.watchRecords()[d.lastCall] = record
+	d.deliver(to, Watch{Call: d.lastCall, Request: request})
+	return record
 }
 
-// granted tells how many operations an answer brought.
-func (a *watching) granted() int {
-	if a.answer.Operations == nil {
+// granted returns how many operations the last answer granted.
+func (r *watchRecord) granted() int {
+	if r.answer.Operations == nil {
 		return 0
 	}
-	return a.answer.Operations.Grants[0].Operations
+	return r.answer.Operations.Grants[0].Operations
 }
 
-// overlap cuts the primary off and asks all controllers for operations on and on. It gives when the old primary granted last, when its term
-// was confirmed last, and when another granted first.
-func overlap(t *testing.T, seed int64, guards disabledGuards) (lastOld, confirmed, firstNew time.Duration) {
+// overlap isolates the primary and keeps requesting operations from all controllers. It returns when the old primary granted last, when its
+// term was confirmed last, and when another controller granted first.
+func overlap(t *testing.T, seed int64, guards disabledGuards) (lastOld, confirmedAt, firstNew time.Duration) {
 	t.Helper()
-	w, old := leadingWithTenants(t, seed, guards)
-	before := w.askOperations(old)
-	w.run(100 * time.Millisecond)
+	d, old := newDeploymentWithTenants(t, seed, guards)
+	before := d.requestOperations(old)
+	d.run(100 * time.Millisecond)
 	if before.granted() != 1 {
-		t.Fatal("nothing is granted")
+		t.Fatal("the primary grants nothing")
 	}
-	w.isolate(old.name)
-	var ofOld, ofOthers []*watching
-	for firstNew == 0 && w.now < time.Minute {
+	d.isolate(old.name)
+	var oldRecords, otherRecords []*watchRecord
+	for firstNew == 0 && d.now < time.Minute {
 		if term := old.controller.term; term != nil {
-			confirmed = term.confirmedAt
+			confirmedAt = term.confirmedAt
 		}
-		for _, one := range w.machines {
-			asked := w.askOperations(one)
-			if one == old {
-				ofOld = append(ofOld, asked)
+		for _, machine := range d.machines {
+			record := d.requestOperations(machine)
+			if machine == old {
+				oldRecords = append(oldRecords, record)
 			} else {
-				ofOthers = append(ofOthers, asked)
+				otherRecords = append(otherRecords, record)
 			}
 		}
-		w.run(10 * time.Millisecond)
-		for _, asked := range ofOthers {
-			if asked.granted() > 0 {
-				firstNew = asked.at
+		d.run(10 * time.Millisecond)
+		for _, record := range otherRecords {
+			if record.granted() > 0 {
+				firstNew = record.at
 				break
 			}
 		}
 	}
-	w.run(3 * time.Second)
-	for _, asked := range ofOld {
-		if asked.granted() > 0 {
-			lastOld = max(lastOld, asked.at)
+	d.run(3 * time.Second)
+	for _, record := range oldRecords {
+		if record.granted() > 0 {
+			lastOld = max(lastOld, record.at)
 		}
 	}
-	return lastOld, confirmed, firstNew
+	return lastOld, confirmedAt, firstNew
 }
 
-// QUOTA: a deposed primary granted operations, and so did the one that followed it.
+// QUOTA: a deposed primary and its successor granted operations at the same time.
 func TestOneTermGrantsAtATime(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		is := is.New(t)
-		lastOld, confirmed, firstNew := overlap(t, seed, disabledGuards{})
+		lastOld, confirmedAt, firstNew := overlap(t, seed, disabledGuards{})
 		is.True(lastOld > 0)
-		is.True(lastOld < confirmed+maxGrantConfirmationAge) // by seed
-		is.True(firstNew > lastOld)                          // by seed
+		is.True(lastOld < confirmedAt+maxGrantConfirmationAge) // by seed
+		is.True(firstNew > lastOld)                            // by seed
 	}
 }
 
-// The guards of operations are found when they are taken out: the old primary grants for too long, or the new one too early.
-func TestGuardsOfOperations(t *testing.T) {
+// With a guard of grants disabled, the old primary grants for too long or the new one too early, and the checks above show it.
+func TestDisabledGrantGuardsAreDetected(t *testing.T) {
 	is := is.New(t)
-	lastOld, confirmed, _ := overlap(t, 1, disabledGuards{operationsUnconfirmed: true})
-	is.True(lastOld >= confirmed+maxGrantConfirmationAge)
+	lastOld, confirmedAt, _ := overlap(t, 1, disabledGuards{operationsUnconfirmed: true})
+	is.True(lastOld >= confirmedAt+maxGrantConfirmationAge)
 	early := 0
 	for seed := int64(1); seed <= 20; seed++ {
-		w, old := leadingWithTenants(t, seed, disabledGuards{allocatorOpensAtOnce: true})
-		w.kill(old)
-		is.True(w.until(patience, func() bool { return w.primary() != nil }))
-		if opensAt := w.now + maxGrantConfirmationAge; w.until(maxGrantConfirmationAge, func() bool { return w.grantsNow(w.primary()) }) && w.now < opensAt {
+		d, old := newDeploymentWithTenants(t, seed, disabledGuards{allocatorOpensAtOnce: true})
+		d.kill(old)
+		is.True(d.runUntil(maxWait, func() bool { return d.primary() != nil }))
+		if opensAt := d.now + maxGrantConfirmationAge; d.runUntil(maxGrantConfirmationAge, func() bool { return d.grantsNow(d.primary()) }) && d.now < opensAt {
 			early++
 		}
 	}
 	is.Equal(early, 20)
 }
 
-func (w *world) grantsNow(primary *machine) bool {
-	asked := w.askOperations(primary)
-	w.run(20 * time.Millisecond)
-	return asked.granted() > 0
+func (d *deployment) grantsNow(primary *machine) bool {
+	record := d.requestOperations(primary)
+	d.run(20 * time.Millisecond)
+	return record.granted() > 0
 }
 
-// QUOTA: the bank of a later term opened while an earlier primary could grant.
-func TestBankOfALaterTermOpensLate(t *testing.T) {
+// QUOTA: the allocator of a later term opened while grants of an earlier primary were still valid.
+func TestAllocatorOfALaterTermOpensLate(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		is := is.New(t)
-		w, old := leadingWithTenants(t, seed, disabledGuards{})
-		w.kill(old)
-		is.True(w.until(patience, func() bool { return w.primary() != nil }))
-		began := w.now
-		is.True(w.until(patience, func() bool { return w.grantsNow(w.primary()) }))
-		opens := began + maxGrantConfirmationAge + quota.GrantLife // what was granted before is over then
-		is.True(w.now > opens)
-		is.True(w.now < opens+maxGrantConfirmationAge) // no later than needed
+		d, old := newDeploymentWithTenants(t, seed, disabledGuards{})
+		d.kill(old)
+		is.True(d.runUntil(maxWait, func() bool { return d.primary() != nil }))
+		began := d.now
+		is.True(d.runUntil(maxWait, func() bool { return d.grantsNow(d.primary()) }))
+		opens := began + maxGrantConfirmationAge + quota.GrantLife // all earlier grants have expired then
+		is.True(d.now > opens)
+		is.True(d.now < opens+maxGrantConfirmationAge) // no later than needed
 	}
 }
 
-// QUOTA: a primary granted by a confirmation that had been asked for long before.
-func TestConfirmationThatTookTooLongGrantsNothing(t *testing.T) {
+// QUOTA: a primary granted operations after a confirmation that it had requested long before.
+func TestLateConfirmationGrantsNothing(t *testing.T) {
 	is := is.New(t)
-	w, leads := leadingWithTenants(t, 1, disabledGuards{})
-	w.run(time.Second) // the last confirmation is not fresh any more
-	w.isolate(leads.name)
-	asked := w.askOperations(leads)
-	w.run(maxGrantConfirmationAge + 10*time.Millisecond)
-	w.cut = map[link]bool{}
-	is.True(w.until(patience, func() bool { return asked.replies == 1 }))
-	is.True(leads.controller.term != nil) // still primary
-	is.True(asked.answer.NotPrimary)
-	is.Equal(asked.granted(), 0)
-	is.True(w.until(time.Second, func() bool { return w.grantsNow(leads) }))
+	d, primary := newDeploymentWithTenants(t, 1, disabledGuards{})
+	d.run(time.Second) // so that the last confirmation is too old
+	d.isolate(primary.name)
+	record := d.requestOperations(primary)
+	d.run(maxGrantConfirmationAge + 10*time.Millisecond)
+	d.cutLinks = map[link]bool{}
+	is.True(d.runUntil(maxWait, func() bool { return record.replies == 1 }))
+	is.True(primary.controller.term != nil) // still primary
+	is.True(record.answer.NotPrimary)
+	is.Equal(record.granted(), 0)
+	is.True(d.runUntil(time.Second, func() bool { return d.grantsNow(primary) }))
 }
 
-// QUOTA: a primary that had stood still granted what had been asked meanwhile, though another had taken over.
-func TestWokenPrimaryGrantsNothing(t *testing.T) {
+// QUOTA: a primary whose process had been suspended granted what was requested meanwhile, though another had taken over.
+func TestThawedPrimaryGrantsNothing(t *testing.T) {
 	is := is.New(t)
-	w, old := leadingWithTenants(t, 1, disabledGuards{})
-	old.frozen = true
-	asked := w.askOperations(old)
-	is.True(w.until(patience, func() bool { return w.primary() != old && w.primary() != nil }))
-	w.run(time.Second)
-	w.thaw(old)
-	w.run(3 * time.Second)
-	is.Equal(asked.replies, 1)
-	is.Equal(asked.granted(), 0)
+	d, old := newDeploymentWithTenants(t, 1, disabledGuards{})
+	old.isFrozen = true
+	record := d.requestOperations(old)
+	is.True(d.runUntil(maxWait, func() bool { return d.primary() != old && d.primary() != nil }))
+	d.run(time.Second)
+	d.thaw(old)
+	d.run(3 * time.Second)
+	is.Equal(record.replies, 1)
+	is.Equal(record.granted(), 0)
 }
--- a/control/controller/scenario_test.go
+++ b/control/controller/scenario_test.go
@@ -12,37 +12,38 @@
 	"eiderway/testing/scenario"
 )
 
-// A scenario is a text file: one command a line, # begins a remark. The first command is
+// scenarioRunner plays a scenario on a deployment. A scenario is a text file with one command a line; # begins a comment. The first command
+// is
 //
 //	controllers COUNT tolerance COUNT
 //
 // Controllers are called a, b, c and so on. Times are like 300ms or 2s.
 //
-//	gateway NAME...                      that ask the controllers for tables
-//	instance ID primary|replica          of service s, beating to whoever leads
+//	gateway NAME...                      start gateways that request tables from the controllers
+//	instance ID primary|replica          start an instance of service s that sends heartbeats to the primary
 //	run TIME                             let time pass
-//	await primary NODE                   within 10s, and any other expectation likewise
-//	cut A-B | cut A>B | join A-B         a gateway's links count too
-//	isolate NODE                         from the other controllers
-//	links                                all links are whole again
-//	freeze NAME | thaw NAME              a controller or a gateway
-//	kill NAME | power NAME | wipe NAME   the process ends; it loses power; its disk is lost
+//	await primary NODE                   wait up to 10s for this or any other expectation
+//	cut A-B | cut A>B | join A-B         cut or restore links, also those of gateways
+//	isolate NODE                         cut all links to the other controllers
+//	links                                restore all links
+//	freeze NAME | thaw NAME              suspend or resume the process of a controller or gateway
+//	kill NAME | power NAME | wipe NAME   end the process; cut the power; lose the disk
 //	start NAME
-//	dump | restore                       all controllers lose their disks and start again with what was dumped
-//	stop NODE                            SIGTERM
-//	disk NODE TIME                       a sync takes this long
-//	probes TIME                          answers to probes take this long
-//	slow GATEWAY TIME                    until a table is applied
-//	down ID | up ID | draining ID        an instance
-//	promote ID                           an instance leads, in a new term
-//	order NODE NUMBER CONTENT = ANSWER   an operator's order, until it is answered; several with | between
-//	invalid NODE = ANSWER
-//	fetch NODE = ANSWER                  such as 503, 307 a, 200 NUMBER CONTENT
+//	dump | restore                       dump all states; replace all disks by the dumps and start again
+//	stop NODE                            send SIGTERM
+//	disk NODE TIME                       set how long a sync takes
+//	probes TIME                          set how long answers to probes take
+//	slow GATEWAY TIME                    set how long a gateway takes to apply a table
+//	down ID | up ID | draining ID        change an instance
+//	promote ID                           make an instance leader in a new term
+//	order NODE NUMBER CONTENT = ANSWER   replace the configuration and wait for the answer; | separates alternatives
+//	invalid NODE = ANSWER                the same with an invalid configuration
+//	fetch NODE = ANSWER                  fetch the configuration: 503, 307 a, 200 NUMBER CONTENT
 //	leave NODE ID = ANSWER
-//	beat NODE ID ready|draining SEQ = ANSWER
+//	beat NODE ID ready|draining|warming SEQ = ANSWER
 //	LABEL: order ...                     the same without waiting
-//	answer LABEL = ANSWER                until it is answered
-//	abandon LABEL                        the caller goes
+//	answer LABEL = ANSWER                wait for the answer
+//	abandon LABEL                        the caller goes away
 //	expect unanswered LABEL
 //	expect primary NODE | none
 //	expect frozen yes|no                 service s at the primary
@@ -50,201 +51,202 @@
 //	expect calls COUNT                   to the platform so far
 //	expect event TEXT COUNT
 //	expect lease GATEWAY yes|no
-//	expect table GATEWAY NUMBER          of the configuration it works by
+//	expect table GATEWAY NUMBER          number of the configuration that the gateway has
 //	expect leader GATEWAY ID             of service s
 //	expect instance GATEWAY ID ready|draining|gone
-//	expect ends NODE                     after SIGTERM
-type player struct {
-	world  *world
-	labels map[string]*call
-	dumps  map[*machine]replication.DurableState
-	seed   int64
-	guards disabledGuards
-	trace  func(string)
+//	expect ends NODE                     the process has exited after SIGTERM
+type scenarioRunner struct {
+	deployment *deployment
+	labels     map[string]*testCall
+	dumps      map[*machine]replication.DurableState
+	seed       int64
+	guards     disabledGuards
+	trace      func(string)
 }
 
-const patience = 10 * time.Second
+// maxWait bounds how long tests wait for a condition.
+const maxWait = 10 * time.Second
 
-func play(path string, seed int64, guards disabledGuards, trace func(string)) error {
+func playScenario(path string, seed int64, guards disabledGuards, trace func(string)) error {
 	lines, err := scenario.Read(path)
 	if err != nil {
 		return err
 	}
-	s := &player{labels: map[string]*call{}, seed: seed, guards: guards, trace: trace}
+	s := &scenarioRunner{labels: map[string]*testCall{}, seed: seed, guards: guards, trace: trace}
 	for _, line := range lines {
 		if trace != nil {
 			trace("--- " + line.Text)
 		}
-		if err := s.do(line.Words); err != nil {
+		if err := s.runCommand(line.Words); err != nil {
 			return fmt.Errorf("%s: %w", line.Place, err)
 		}
-		if s.world.broken != "" {
-			return fmt.Errorf("%s: %s", line.Place, s.world.broken)
+		if s.deployment.violation != "" {
+			return fmt.Errorf("%s: %s", line.Place, s.deployment.violation)
 		}
 	}
 	return nil
 }
 
-func (s *player) do(words []string) error {
+func (s *scenarioRunner) runCommand(words []string) error {
 	if label, found := strings.CutSuffix(words[0], ":"); found {
-		s.labels[label] = s.ask(words[1:])
+		s.labels[label] = s.sendCall(words[1:])
 		return nil
 	}
 	if at := slices.Index(words, "="); at > 0 {
-		made := s.labels[words[1]]
+		call := s.labels[words[1]]
 		if words[0] != "answer" {
-			made = s.ask(words[:at])
+			call = s.sendCall(words[:at])
 		}
-		return s.answered(made, strings.Join(words[at+1:], " "))
+		return s.expectAnswer(call, strings.Join(words[at+1:], " "))
 	}
 	switch words[0] {
 	case "await":
-		if !s.world.until(patience, func() bool { return s.expect(words[1:]) == nil }) {
+		if !s.deployment.runUntil(maxWait, func() bool { return s.expect(words[1:]) == nil }) {
 			return s.expect(words[1:])
 		}
 		return nil
 	case "expect":
 		return s.expect(words[1:])
 	}
-	return s.trouble(words)
+	return s.runAction(words)
 }
 
-func (s *player) answered(made *call, wanted string) error {
-	s.world.until(3*time.Second, func() bool { return made.reply != nil })
-	if got := made.outcome(); !slices.Contains(strings.Split(wanted, " | "), got) {
+func (s *scenarioRunner) expectAnswer(call *testCall, wanted string) error {
+	s.deployment.runUntil(3*time.Second, func() bool { return call.reply != nil })
+	if got := call.outcome(); !slices.Contains(strings.Split(wanted, " | "), got) {
 		return fmt.Errorf("got %s", got)
 	}
 	return nil
 }
 
-func (s *player) ask(words []string) *call {
-	w := s.world
-	to := w.machine(words[1])
+func (s *scenarioRunner) sendCall(words []string) *testCall {
+	d := s.deployment
+	to := d.machine(words[1])
 	switch words[0] {
 	case "order":
-		return w.sendOrder(to, int64(scenario.Number(words[2])), words[3])
+		return d.sendConfiguration(to, int64(scenario.Number(words[2])), words[3])
 	case "invalid":
-		return w.sendInvalid(to)
+		return d.sendInvalidConfiguration(to)
 	case "fetch":
-		return w.sendFetch(to)
+		return d.sendFetch(to)
 	case "leave":
-		return w.sendLeave(to, words[2])
+		return d.sendLeave(to, words[2])
 	case "beat":
-		one := instance{id: words[2], draining: words[3] == "draining", seq: uint64(scenario.Number(words[4]))}
-		beat := one.beat()
+		instance := instance{id: words[2], isDraining: words[3] == "draining", seq: uint64(scenario.Number(words[4]))}
+		heartbeat := instance.heartbeat()
 		if words[3] == "warming" {
-			beat.WarmupLeftMs = 1000
+			heartbeat.WarmupLeftMs = 1000
 		}
-		return w.sendBeat(to, beat)
+		return d.sendHeartbeat(to, heartbeat)
 	}
-	panic("unknown question " + words[0])
+	panic("unknown call " + words[0])
 }
 
-// restore has all controllers lose their disks, and start again with what was dumped.
-func (s *player) restore() {
-	for _, one := range s.world.machines {
-		s.world.powerLoss(one)
-		one.disk.durable = s.dumps[one]
-		one.disk.durable.Voter.Restored = true
+// restore replaces the disks of all controllers by the dumps, and starts them.
+func (s *scenarioRunner) restore() {
+	for _, machine := range s.deployment.machines {
+		s.deployment.powerLoss(machine)
+		machine.disk.durable = s.dumps[machine]
+		machine.disk.durable.Voter.Restored = true
 	}
-	for _, one := range s.world.machines {
-		s.world.start(one)
+	for _, machine := range s.deployment.machines {
+		s.deployment.start(machine)
 	}
 }
 
-func (s *player) trouble(words []string) error {
-	w := s.world
+func (s *scenarioRunner) runAction(words []string) error {
+	d := s.deployment
 	switch words[0] {
 	case "controllers":
-		s.world = newWorld(s.seed, scenario.Number(words[1]), scenario.Number(words[3]), s.guards)
-		s.world.trace = s.trace
+		s.deployment = newDeployment(s.seed, scenario.Number(words[1]), scenario.Number(words[3]), s.guards)
+		s.deployment.trace = s.trace
 	case "gateway":
 		for _, name := range words[1:] {
-			w.addGateway(name)
+			d.addGateway(name)
 		}
 	case "instance":
-		w.addInstance(words[1], words[2] == "primary")
+		d.addInstance(words[1], words[2] == "primary")
 	case "run":
-		w.run(scenario.Span(words[1]))
+		d.run(scenario.Span(words[1]))
 	case "cut", "join":
-		w.cut.Set(words[1], words[0] == "cut")
+		d.cutLinks.Set(words[1], words[0] == "cut")
 	case "isolate":
-		w.isolate(words[1])
+		d.isolate(words[1])
 	case "links":
-		clear(w.cut)
+		clear(d.cutLinks)
 	case "disk":
-		w.machine(words[1]).disk.delay = scenario.Span(words[2])
+		d.machine(words[1]).disk.delay = scenario.Span(words[2])
 	case "probes":
-		w.probeTime = scenario.Span(words[1])
+		d.probeTime = scenario.Span(words[1])
 	case "slow":
-		w.gateway(words[1]).slow = scenario.Span(words[2])
+		d.gateway(words[1]).applyDelay = scenario.Span(words[2])
 	case "dump":
 		s.dumps = map[*machine]replication.DurableState{}
-		for _, one := range w.machines {
-			s.dumps[one] = one.disk.durable
-			kept := s.dumps[one]
-			kept.Entries = maps.Clone(kept.Entries)
-			s.dumps[one] = kept
+		for _, machine := range d.machines {
+			s.dumps[machine] = machine.disk.durable
+			dump := s.dumps[machine]
+			dump.Entries = maps.Clone(dump.Entries)
+			s.dumps[machine] = dump
 		}
 	case "restore":
 		s.restore()
 	case "down", "up":
-		w.instance(words[1]).up = words[0] == "up"
+		d.instance(words[1]).isUp = words[0] == "up"
 	case "promote":
-		w.promote(words[1])
+		d.promote(words[1])
 	case "draining":
-		w.instance(words[1]).draining = true
+		d.instance(words[1]).isDraining = true
 	case "abandon":
 		s.abandon(s.labels[words[1]])
 	case "stop":
-		w.give(w.machine(words[1]), Terminate{})
+		d.deliver(d.machine(words[1]), Terminate{})
 	default:
-		return s.processes(words[0], words[1])
+		return s.runProcessCommand(words[0], words[1])
 	}
 	return nil
 }
 
-func (s *player) abandon(made *call) {
-	for number, one := range s.world.calls {
-		if one == made {
-			s.world.give(made.to, Abandon{Call: number})
+func (s *scenarioRunner) abandon(abandoned *testCall) {
+	for id, call := range s.deployment.calls {
+		if call == abandoned {
+			s.deployment.deliver(abandoned.to, Abandon{Call: id})
 		}
 	}
 }
 
-func (s *player) processes(what, name string) error {
-	if one := s.world.gateway(name); one != nil {
+func (s *scenarioRunner) runProcessCommand(what, name string) error {
+	if gateway := s.deployment.gateway(name); gateway != nil {
 		switch what {
 		case "freeze", "thaw":
-			one.frozen = what == "freeze"
+			gateway.isFrozen = what == "freeze"
 		case "kill":
-			one.up = false
+			gateway.isUp = false
 		case "start":
-			s.world.startGateway(one)
+			s.deployment.startGateway(gateway)
 		}
 		return nil
 	}
-	one := s.world.machine(name)
+	machine := s.deployment.machine(name)
 	switch what {
 	case "freeze":
-		one.frozen = true
+		machine.isFrozen = true
 	case "thaw":
-		s.world.thaw(one)
+		s.deployment.thaw(machine)
 	case "kill":
-		s.world.kill(one)
+		s.deployment.kill(machine)
 	case "power":
-		s.world.powerLoss(one)
+		s.deployment.powerLoss(machine)
 	case "wipe":
-		s.world.wipe(one)
+		s.deployment.wipe(machine)
 	case "start":
-		s.world.start(one)
+		s.deployment.start(machine)
 	default:
 		return fmt.Errorf("unknown command")
 	}
 	return nil
 }
 
-func (s *player) expect(words []string) error {
+func (s *scenarioRunner) expect(words []string) error {
 	wanted := words[len(words)-1]
 	if got := s.observe(words[:len(words)-1], wanted); got != wanted {
 		return fmt.Errorf("got %s", got)
@@ -252,15 +254,15 @@
 	return nil
 }
 
-func yes(holds bool) string {
+func yesOrNo(holds bool) string {
 	if holds {
 		return "yes"
 	}
 	return "no"
 }
 
-func (s *player) observe(what []string, last string) string {
-	w := s.world
+func (s *scenarioRunner) observe(what []string, last string) string {
+	d := s.deployment
 	switch what[0] {
 	case "unanswered":
 		if s.labels[last].reply == nil {
@@ -268,28 +270,28 @@
 		}
 		return s.labels[last].outcome()
 	case "primary":
-		if leads := w.primary(); leads != nil {
-			return leads.name
+		if primary := d.primary(); primary != nil {
+			return primary.name
 		}
 		return "none"
 	case "frozen":
-		leads := w.primary()
-		return yes(leads != nil && slices.Contains(leads.controller.Status().FrozenServices, "s"))
+		primary := d.primary()
+		return yesOrNo(primary != nil && slices.Contains(primary.controller.Status().FrozenServices, "s"))
 	case "pauses":
-		return yes(w.pauses > 0)
+		return yesOrNo(d.pauseCount > 0)
 	case "calls":
-		return fmt.Sprint(w.platform)
+		return fmt.Sprint(d.platformCalls)
 	case "event":
 		text := strings.Join(what[1:], " ")
 		count := 0
-		for _, one := range w.events {
-			if one == text {
+		for _, event := range d.events {
+			if event == text {
 				count++
 			}
 		}
 		return fmt.Sprint(count)
 	case "ends":
-		if w.machine(last).mayEnd {
+		if d.machine(last).hasExited {
 			return last
 		}
 		return "not yet"
@@ -297,17 +299,17 @@
 	return s.observeGateway(what)
 }
 
-func (s *player) observeGateway(what []string) string {
-	one := s.world.gateway(what[1])
+func (s *scenarioRunner) observeGateway(what []string) string {
+	gateway := s.deployment.gateway(what[1])
 	switch what[0] {
 	case "lease":
-		return yes(s.world.now < one.until)
+		return yesOrNo(s.deployment.now < gateway.leaseUntil)
 	case "table":
-		return fmt.Sprint(one.number)
+		return fmt.Sprint(gateway.configurationNumber)
 	case "leader":
-		return one.service("s").Leader.InstanceID
+		return gateway.service("s").Leader.InstanceID
 	case "instance":
-		for _, known := range one.service("s").Instances {
+		for _, known := range gateway.service("s").Instances {
 			if known.ID != what[2] {
 				continue
 			}
@@ -328,7 +330,7 @@
 			if testing.Verbose() && seed == 2 {
 				trace = func(line string) { t.Log(line) }
 			}
-			if err := play(path, seed, disabledGuards{}, trace); err != nil {
+			if err := playScenario(path, seed, disabledGuards{}, trace); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
