--- a/control/quorum/quorum_test.go
+++ b/control/quorum/quorum_test.go
@@ -14,7 +14,7 @@
 	return made
 }
 
-func TestOrder(t *testing.T) {
+func TestViewIDsAndStampsAreOrdered(t *testing.T) {
 	is := is.New(t)
 	is.True(ViewID{1, 9}.Less(ViewID{2, 0}))
 	is.True(ViewID{2, 0}.Less(ViewID{2, 1}))
@@ -44,8 +44,9 @@
 	is.True(!view().IsMajority(holders("a")))
 }
 
-// TestMajoritiesOfNeighboursMeet is what changing one voter at a time rests on.
-func TestMajoritiesOfNeighboursMeet(t *testing.T) {
+// TestMajoritiesOfConsecutiveViewsOverlap guards the rule that makes it safe to change one voter at a time: a set of voters and
+// its complement must not be majorities of two views that differ by one voter.
+func TestMajoritiesOfConsecutiveViewsOverlap(t *testing.T) {
 	is := is.New(t)
 	all := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for size := 1; size < len(all); size++ {
@@ -58,7 +59,7 @@
 	}
 }
 
-func TestMembersOfAView(t *testing.T) {
+func TestVoterAndHasCopyFindMembersOfView(t *testing.T) {
 	is := is.New(t)
 	made := view("a", "b", "c")
 	made.Copies = []Incarnation{"a", "c"}
--- a/control/replication/backup.go
+++ b/control/replication/backup.go
@@ -6,34 +6,34 @@
 	"eiderway/control/quorum"
 )
 
-// answerSoon: an answer that waits for a sync, to say more, does not wait longer than this.
-const answerSoon = 40 * time.Millisecond
+// maxAnswerDelay is how long an answer waits for a sync, so that it can report more.
+const maxAnswerDelay = 40 * time.Millisecond
 
-// owedAnswer is a word of the primary that has not been answered because a write was begun for it.
-type owedAnswer struct{ since time.Duration }
+// deferredAnswer is the answer to an Append that waits for the write begun for it.
+type deferredAnswer struct{ since time.Duration }
 
-// onAppend follows the primary of an epoch that is not below the promised one.
+// onAppend follows the sender if its epoch is not below the promised one.
 func (n *Node) onAppend(message Message) {
-	if message.Epoch < n.record.Promised && !n.guards.lowerEpochTaken {
+	if message.Epoch < n.record.Promised && !n.guards.lowerEpochAccepted {
 		n.refuse(message)
 		return
 	}
 	if n.leadership != nil && n.leadership.epoch == message.Epoch {
-		n.drop() // there is one primary in an epoch, and that is this node
+		n.drop() // an epoch has one primary, and that is this node
 		return
 	}
 	writes := n.disk.issued
 	if message.Epoch > n.record.Promised {
 		n.promiseTo(message.From, message.Epoch)
 	}
-	n.candidacy = nil // of an epoch that is not above, or a poll
+	n.candidacy = nil // it is a poll, or its epoch is not higher
 	n.hearLeader(message)
 	n.acceptView(message.Append.View)
 	n.applyChanges(message.Append.Changes)
 	n.considerSnapshot(message)
-	if n.disk.issued > writes && !n.disk.bad {
-		if n.owed == nil {
-			n.owed = &owedAnswer{since: n.now}
+	if n.disk.issued > writes && !n.disk.failed {
+		if n.deferred == nil {
+			n.deferred = &deferredAnswer{since: n.now}
 		}
 		return
 	}
@@ -42,9 +42,9 @@
 
 func (n *Node) hearLeader(message Message) {
 	if !n.leader.known || n.leader.epoch != message.Epoch || n.leader.member.Incarnation != message.From.Incarnation {
-		n.leader = leaderSeen{member: message.From, epoch: message.Epoch, known: true}
+		n.leader = followedLeader{member: message.From, epoch: message.Epoch, known: true}
 	}
-	n.leader.heard = n.now
+	n.leader.heardAt = n.now
 	n.silentSince = n.now
 	n.leader.round = max(n.leader.round, message.Request)
 	if n.leader.committed.Less(message.Append.Committed) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// acceptView puts a newer view on disk.
+// acceptView accepts a newer view and writes it to disk.
 func (n *Node) acceptView(view *quorum.View) {
 	if view == nil || !n.record.Accepted.ID.Less(view.ID) || view.ID.Epoch < n.record.Promised {
 		return
@@ -63,7 +63,7 @@
 	n.writeRecord()
 }
 
-// applyChanges takes the changes that follow on the state, and puts them on disk in one write.
+// applyChanges applies the changes that continue the state, and writes them to disk in one write.
 func (n *Node) applyChanges(changes []Change) {
 	var mutations []Mutation
 	before := n.history.stamp
@@ -79,18 +79,18 @@
 	}
 	n.fetch = nil
 	n.writeState(mutations)
-	n.noteAgreed()
+	n.clearRestored()
 }
 
-// noteAgreed records that the state here is what a primary has agreed on with others, not what a dump held.
-func (n *Node) noteAgreed() {
+// clearRestored records that the state is no longer just the content of a dump: it is replicated, or its entries are marked.
+func (n *Node) clearRestored() {
 	if n.record.Restored {
 		n.record.Restored = false
 		n.writeRecord()
 	}
 }
 
-// considerSnapshot begins to fetch the state where changes don't lead to it any more.
+// considerSnapshot begins to fetch an offered snapshot, unless the state has already reached it.
 func (n *Node) considerSnapshot(message Message) {
 	offer := message.Append.Snapshot
 	if offer == nil || n.hasReached(message.Epoch, offer.Stamp) {
@@ -99,21 +99,21 @@
 	n.startFetch(message.From, message.Epoch, offer.Stamp)
 }
 
-// hasReached tells that a state of the epoch is no news here. What a copy has acknowledged in an epoch it must never
-// give up for an older state of that epoch, however late an offer or a piece comes.
+// hasReached reports whether the local state is of the epoch and at least as new as the stamp. A copy must never replace what
+// it has acknowledged in an epoch by an older state of that epoch, however late an offer or a piece arrives.
 func (n *Node) hasReached(epoch quorum.Epoch, stamp quorum.Stamp) bool {
 	return n.history.stamp.Epoch == epoch && !n.history.stamp.Less(stamp)
 }
 
-// sendAnswer tells the primary what this node has, and how much of it is safe.
+// sendAnswer tells the primary what this node has received, and how much of it is synced.
 func (n *Node) sendAnswer() {
 	if !n.leader.known || n.leader.round == 0 {
 		return
 	}
-	if n.leader.epoch != n.record.Promised && !n.guards.lowerEpochTaken {
+	if n.leader.epoch != n.record.Promised && !n.guards.lowerEpochAccepted {
 		return
 	}
-	n.owed = nil
+	n.deferred = nil
 	n.sendTo(n.leader.member, 0, Message{
 		Epoch:   n.leader.epoch,
 		Request: n.leader.round,
@@ -122,20 +122,20 @@
 			Synced:   n.disk.stamp,
 			Accepted: n.disk.accepted,
 			Fetching: n.fetch != nil,
-			Leaving:  n.leaving.asked,
+			Leaving:  n.leaving.requested,
 		},
 	})
 }
 
-// acknowledgeSync is called when more has become safe on disk.
+// acknowledgeSync answers the primary when more has been synced to disk.
 func (n *Node) acknowledgeSync() {
 	if n.leadership == nil && n.candidacy == nil {
 		n.sendAnswer()
 	}
 }
 
-func (n *Node) payOwedAnswer() {
-	if n.owed != nil && n.now-n.owed.since >= answerSoon {
+func (n *Node) sendOverdueAnswer() {
+	if n.deferred != nil && n.now-n.deferred.since >= maxAnswerDelay {
 		n.sendAnswer()
 	}
 }
--- a/control/replication/candidacy.go
+++ b/control/replication/candidacy.go
@@ -11,27 +11,28 @@
 const (
 	polling   candidacyPhase = iota // asks whether others miss the primary too
 	preparing                       // asks for promises
-	fetching                        // has them, and fetches the state of a copy
+	fetching                        // has the promises, and fetches the state of a copy
 )
 
-// candidacy is an attempt to become primary, up to the point where it has a state to bring to the others.
+// candidacy is an attempt to become primary. It ends when the node has a majority and a state, and takes over.
 type candidacy struct {
-	phase     candidacyPhase
-	request   uint64
-	began     time.Duration // of the phase
-	asked     time.Duration
-	founding  bool
-	handover  bool
-	missing   []quorum.Member // who misses the primary too
-	epoch     quorum.Epoch
-	ownWrite  uint64 // of the own promise
-	promises  []promiseGiven
-	enoughAt  time.Duration // when a founding candidate had a majority
-	hasEnough bool
-	base      quorum.View // the view whose voters decide, once it is settled
+	phase          candidacyPhase
+	request        uint64
+	phaseBeganAt   time.Duration // beginning of the phase
+	askedAt        time.Duration
+	founding       bool
+	handover       bool
+	missingPrimary []quorum.Member // members, this node included, that miss the primary
+	epoch          quorum.Epoch
+	ownWrite       uint64 // write with this node's own promise
+	promises       []receivedPromise
+	majorityAt     time.Duration // when a founding candidate got a majority
+	hasMajority    bool
+	base           quorum.View // newest accepted view among the promises; known from fetching on
 }
 
-type promiseGiven struct {
+// receivedPromise is the answer of one voter, this node included, to a candidate.
+type receivedPromise struct {
 	member   quorum.Member
 	accepted quorum.View
 	stamp    quorum.Stamp
@@ -39,23 +40,23 @@
 
 func (c *candidacy) answeredBy(member quorum.Member) bool {
 	if c.phase == polling {
-		for _, other := range c.missing {
-			if sameMember(other, member) {
+		for _, other := range c.missingPrimary {
+			if isSameMember(other, member) {
 				return true
 			}
 		}
 		return false
 	}
 	for _, promise := range c.promises {
-		if sameMember(promise.member, member) {
+		if isSameMember(promise.member, member) {
 			return true
 		}
 	}
 	return false
 }
 
-// sameMember compares by incarnation, or by address where that isn't known.
-func sameMember(a, b quorum.Member) bool {
+// isSameMember compares by incarnation, or by address if an incarnation is unknown.
+func isSameMember(a, b quorum.Member) bool {
 	if a.Incarnation == "" || b.Incarnation == "" {
 		return a.Address == b.Address
 	}
@@ -80,9 +81,9 @@
 	return false
 }
 
-// bestCopy is the copy of the view with the highest stamp among those that have promised.
-func (c *candidacy) bestCopy(view quorum.View) (promiseGiven, bool) {
-	best := promiseGiven{}
+// bestCopy returns the copy of the view with the highest stamp among those that have promised.
+func (c *candidacy) bestCopy(view quorum.View) (receivedPromise, bool) {
+	best := receivedPromise{}
 	found := false
 	for _, promise := range c.promises {
 		if !view.HasCopy(promise.member.Incarnation) {
--- a/control/replication/catchup_test.go
+++ b/control/replication/catchup_test.go
@@ -9,34 +9,34 @@
 	"github.com/matryer/is"
 )
 
-// byteCount counts what is written to it.
-type byteCount struct{ total int }
+// byteCounter counts the bytes written to it.
+type byteCounter struct{ total int }
 
-func (b *byteCount) Write(bytes []byte) (int, error) {
+func (b *byteCounter) Write(bytes []byte) (int, error) {
 	b.total += len(bytes)
 	return len(bytes), nil
 }
 
-// gobSize measures messages as they travel on one connection, the description of the types left out.
+// gobSize returns a function that measures the encoded size of messages sent on one connection.
 func gobSize() func(Message) int {
-	count := &byteCount{}
-	encoder := gob.NewEncoder(count)
+	counter := &byteCounter{}
+	encoder := gob.NewEncoder(counter)
 	return func(message Message) int {
-		before := count.total
+		before := counter.total
 		if err := encoder.Encode(message); err != nil {
 			panic(err)
 		}
-		return count.total - before
+		return counter.total - before
 	}
 }
 
-// commit makes one change at the primary and waits for it.
+// commit proposes one change to the primary and waits for its end.
 func (w *world) commit(mutations []Mutation) {
 	for end := w.now + 5*time.Second; w.now < end; {
-		if leads := w.primary(); leads != nil && leads.node.MayPropose() {
+		if primary := w.primary(); primary != nil && primary.node.MayPropose() {
 			w.requests++
-			w.step(leads, Propose{Request: w.requests, Mutations: mutations})
-			for ; leads.node.leads() && leads.node.leadership.pending != nil && w.now < end; w.run(time.Millisecond) {
+			w.step(primary, Propose{Request: w.requests, Mutations: mutations})
+			for ; primary.node.leads() && primary.node.leadership.pending != nil && w.now < end; w.run(time.Millisecond) {
 			}
 			return
 		}
@@ -45,44 +45,44 @@
 	panic("no primary")
 }
 
-// catchUpCost is what it takes to bring a member up that was away for so many changes, beside the usual heartbeats.
+// catchUpCost returns how many messages and bytes are sent until a member that missed so many changes has caught up.
 func catchUpCost(t *testing.T, entries, changes int) (messages, bytes int) {
 	t.Helper()
 	w := newWorld(1, 3, 3, 1, disabledGuards{})
-	w.client = false
+	w.clientActive = false
 	w.run(time.Second)
 	var state []Mutation
 	for index := 0; index < entries; index++ {
 		state = append(state, Mutation{Key: fmt.Sprintf("entry/%04d", index), Value: make([]byte, 100)})
 	}
 	w.commit(state)
-	away := w.machine("c")
-	w.isolate(away)
+	lagging := w.machine("c")
+	w.isolate(lagging)
 	for index := 0; index < changes; index++ {
 		key := fmt.Sprintf("entry/%04d", index%entries)
 		w.commit([]Mutation{{Key: key, Value: make([]byte, 100)}})
 	}
-	measure := gobSize()
-	measure(Message{Append: &Append{}}) // the description of the types
-	clear(w.cut)
-	w.messages, w.sentBytes, w.bytes = 0, 0, measure
+	sizeOf := gobSize()
+	sizeOf(Message{Append: &Append{}}) // gob sends the description of the types only once, with the first message
+	clear(w.cutLinks)
+	w.messages, w.sentBytes, w.bytes = 0, 0, sizeOf
 	goal := w.primary().node.Stamp()
-	begin := w.now
-	for away.node.Stamp() != goal {
+	startedAt := w.now
+	for lagging.node.Stamp() != goal {
 		w.run(time.Millisecond)
-		if w.now-begin > 4*time.Second {
-			t.Fatalf("not caught up after %s: %s", w.now-begin, w.describe())
+		if w.now-startedAt > 4*time.Second {
+			t.Fatalf("not caught up after %s: %s", w.now-startedAt, w.describe())
 		}
 	}
 	return w.messages, w.sentBytes
 }
 
-// TestCatchingUpCostsBySizeNotByHistory brings a member up after 10, 100 and 1,000 missed changes.
-func TestCatchingUpCostsBySizeNotByHistory(t *testing.T) {
+// TestCatchUpCostIsBoundedByStateSize guards against a cost that grows with the number of missed changes.
+func TestCatchUpCostIsBoundedByStateSize(t *testing.T) {
 	for _, entries := range []int{10, 1000} {
 		is := is.New(t)
 		size := entries * (100 + len("entry/0000") + mutationOverhead)
-		mostBytes := max(size, smallState) + 4*1024 // heartbeats and heads of messages included
+		mostBytes := max(size, smallStateBytes) + 4*1024 // includes heartbeats and message headers
 		for _, changes := range []int{10, 100, 1000} {
 			messages, bytes := catchUpCost(t, entries, changes)
 			t.Logf("%d entries, %d changes missed: %d messages, %d bytes", entries, changes, messages, bytes)
@@ -92,29 +92,29 @@
 	}
 }
 
-// TestASnapshotDoesNotStartAgainBecauseOfChanges fetches a big state while changes go on.
-func TestASnapshotDoesNotStartAgainBecauseOfChanges(t *testing.T) {
+// TestChangesDoNotRestartSnapshotFetch guards against a fetch of a large state that starts again with every change.
+func TestChangesDoNotRestartSnapshotFetch(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, 3, 3, 1, disabledGuards{})
-	w.client = false
+	w.clientActive = false
 	w.run(time.Second)
 	w.commit([]Mutation{{Key: "big", Value: make([]byte, 1<<20)}})
 	w.wipe(w.machine("c"))
 	w.run(2 * time.Second)
-	w.client = true
+	w.clientActive = true
 	fresh := w.machine("c")
 	w.start(fresh)
-	begin := w.now
+	startedAt := w.now
 	for fresh.node.Role() != Backup {
 		w.run(time.Millisecond)
-		is.True(w.now-begin < 2*time.Second) // 65 pieces of some 4 ms each
+		is.True(w.now-startedAt < 2*time.Second) // 65 pieces of some 4 ms each
 	}
 	installed := 0
 	for _, event := range fresh.events {
-		if event.What == "snapshot installed" && fresh.lives == 2 {
+		if event.What == "snapshot installed" && fresh.diskCount == 2 {
 			installed++
 		}
 	}
 	is.Equal(installed, 1)
-	is.Equal(w.judge.broken, "")
+	is.Equal(w.checker.violation, "")
 }
--- a/control/replication/commit.go
+++ b/control/replication/commit.go
@@ -2,47 +2,47 @@
 
 import "eiderway/control/quorum"
 
-// commitChange commits the change under way when every copy has synced it, there are enough of them, and a majority has
-// been heard since it came.
+// commitChange commits the pending change when every copy has synced it, there are enough copies, and a majority has answered
+// a round that began after the change was proposed.
 func (n *Node) commitChange() {
-	lead := n.leadership
-	pending := lead.pending
-	if pending == nil || !n.enoughCopies() {
+	leadership := n.leadership
+	pending := leadership.pending
+	if pending == nil || !n.hasEnoughCopies() {
 		return
 	}
-	if !n.syncedByCopies(lead.committed, pending.change.Stamp) {
+	if !n.isSyncedByCopies(leadership.committed, pending.change.Stamp) {
 		return
 	}
-	if lead.proposed != nil && !n.syncedByCopies(*lead.proposed, pending.change.Stamp) {
+	if leadership.proposed != nil && !n.isSyncedByCopies(*leadership.proposed, pending.change.Stamp) {
 		return
 	}
-	heard := n.majorityOfViews(func(incarnation quorum.Incarnation) bool {
-		one := lead.follower(incarnation)
-		return one != nil && one.heardRound >= pending.round
+	heard := n.hasMajorityOfViews(func(incarnation quorum.Incarnation) bool {
+		follower := leadership.follower(incarnation)
+		return follower != nil && follower.heardRound >= pending.round
 	})
 	if !heard {
 		return
 	}
-	lead.pending = nil
+	leadership.pending = nil
 	n.history.apply(pending.change)
 	n.decide(pending.request, Done)
 }
 
-func (n *Node) enoughCopies() bool {
-	if n.guards.noFloor {
+func (n *Node) hasEnoughCopies() bool {
+	if n.guards.noMinCopies {
 		return true
 	}
-	lead := n.leadership
-	if lead.proposed != nil && len(lead.proposed.Copies) < n.floor() {
+	leadership := n.leadership
+	if leadership.proposed != nil && len(leadership.proposed.Copies) < n.minCopies() {
 		return false
 	}
-	return len(lead.committed.Copies) >= n.floor()
+	return len(leadership.committed.Copies) >= n.minCopies()
 }
 
-// floor is the least number of copies with which a change may be acknowledged.
-func (n *Node) floor() int { return n.settings.Tolerance + 1 }
+// minCopies returns the minimum number of copies with which a change may be acknowledged.
+func (n *Node) minCopies() int { return n.settings.Tolerance + 1 }
 
-func (n *Node) syncedByCopies(view quorum.View, stamp quorum.Stamp) bool {
+func (n *Node) isSyncedByCopies(view quorum.View, stamp quorum.Stamp) bool {
 	lagging := 0
 	for _, incarnation := range view.Copies {
 		if !n.hasSynced(incarnation, stamp) {
@@ -59,23 +59,23 @@
 	if incarnation == n.self.Incarnation {
 		return !n.disk.stamp.Less(stamp)
 	}
-	one := n.leadership.follower(incarnation)
-	return one != nil && !one.synced.Less(stamp)
+	follower := n.leadership.follower(incarnation)
+	return follower != nil && !follower.synced.Less(stamp)
 }
 
-// majorityOfViews asks for a majority of each view in question: the one committed, or taken over, and the one proposed.
-// This node's own voice counts where it has a vote.
-func (n *Node) majorityOfViews(holds func(quorum.Incarnation) bool) bool {
-	lead := n.leadership
+// hasMajorityOfViews reports whether holds is true for a majority of the committed view (before the first, of the view taken
+// over) and of the proposed view, if there is one. It always counts as true for this node.
+func (n *Node) hasMajorityOfViews(holds func(quorum.Incarnation) bool) bool {
+	leadership := n.leadership
 	withSelf := func(incarnation quorum.Incarnation) bool {
 		return incarnation == n.self.Incarnation || holds(incarnation)
 	}
-	view := lead.committed
-	if lead.phase != leading {
-		view = lead.base
+	view := leadership.committed
+	if leadership.phase != leading {
+		view = leadership.base
 	}
 	if !view.IsMajority(withSelf) {
 		return false
 	}
-	return lead.proposed == nil || lead.proposed.IsMajority(withSelf)
+	return leadership.proposed == nil || leadership.proposed.IsMajority(withSelf)
 }
--- a/control/replication/confirm.go
+++ b/control/replication/confirm.go
@@ -7,60 +7,60 @@
 )
 
 const (
-	// confirmPause is the least time between two rounds for questions: many share one.
-	confirmPause = 20 * time.Millisecond
-	// confirmLimit: callers wait a second at most, and want to be sent elsewhere before that.
-	confirmLimit = 700 * time.Millisecond
+	// confirmInterval is the minimum time between two rounds for confirmations, so that many share one round.
+	confirmInterval = 20 * time.Millisecond
+	// confirmTimeout is shorter than the second that callers wait at most, so that they can still be sent elsewhere.
+	confirmTimeout = 700 * time.Millisecond
 )
 
-// pendingConfirm is a question whether this node is still the primary.
+// pendingConfirm is a request to confirm that this node is still the primary.
 type pendingConfirm struct {
 	request uint64
-	round   uint64 // answers to this or a later word count
-	came    time.Duration
+	round   uint64 // answers to this or a later round count
+	askedAt time.Duration
 }
 
-// confirm is settled by a majority's answers to a word that goes out after the question came.
+// confirm queues a request. Answers of a majority to a round that starts after the request confirm it.
 func (n *Node) confirm(request uint64) {
 	if !n.leads() {
 		n.decide(request, NotPrimary)
 		return
 	}
-	lead := n.leadership
-	lead.confirms = append(lead.confirms, pendingConfirm{request: request, round: lead.round + 1, came: n.now})
-	if n.now-lead.roundAt >= confirmPause {
+	leadership := n.leadership
+	leadership.confirms = append(leadership.confirms, pendingConfirm{request: request, round: leadership.round + 1, askedAt: n.now})
+	if n.now-leadership.roundAt >= confirmInterval {
 		n.broadcast()
 	}
 }
 
 func (n *Node) tickConfirms() {
-	lead := n.leadership
-	waiting := lead.confirms[:0:0]
+	leadership := n.leadership
+	waiting := leadership.confirms[:0:0]
 	due := false
-	for _, one := range lead.confirms {
-		if n.now-one.came > confirmLimit {
-			n.decide(one.request, Unknown)
+	for _, confirm := range leadership.confirms {
+		if n.now-confirm.askedAt > confirmTimeout {
+			n.decide(confirm.request, Unknown)
 			continue
 		}
-		due = due || one.round > lead.round
-		waiting = append(waiting, one)
+		due = due || confirm.round > leadership.round
+		waiting = append(waiting, confirm)
 	}
-	lead.confirms = waiting
-	if due && n.now-lead.roundAt >= confirmPause {
+	leadership.confirms = waiting
+	if due && n.now-leadership.roundAt >= confirmInterval {
 		n.broadcast()
 	}
 }
 
-// settleConfirms answers the questions that a majority's words have settled.
-func (n *Node) settleConfirms() {
-	lead := n.leadership
-	for len(lead.confirms) > 0 && n.isConfirmed(lead.confirms[0].round) {
+// answerConfirms answers the requests that the answers of a majority have confirmed.
+func (n *Node) answerConfirms() {
+	leadership := n.leadership
+	for len(leadership.confirms) > 0 && n.isConfirmed(leadership.confirms[0].round) {
 		outcome := Done
-		if n.now-lead.confirms[0].came > confirmLimit {
-			outcome = Unknown // this process may have stood still since the answers
+		if n.now-leadership.confirms[0].askedAt > confirmTimeout {
+			outcome = Unknown // this process may have been frozen since the answers came
 		}
-		n.decide(lead.confirms[0].request, outcome)
-		lead.confirms = lead.confirms[1:]
+		n.decide(leadership.confirms[0].request, outcome)
+		leadership.confirms = leadership.confirms[1:]
 	}
 }
 
@@ -68,11 +68,11 @@
 	if round > n.leadership.round {
 		return false
 	}
-	if n.guards.confirmAlone {
+	if n.guards.confirmWithoutMajority {
 		return true
 	}
-	return n.majorityOfViews(func(incarnation quorum.Incarnation) bool {
-		one := n.leadership.follower(incarnation)
-		return one != nil && one.heardRound >= round
+	return n.hasMajorityOfViews(func(incarnation quorum.Incarnation) bool {
+		follower := n.leadership.follower(incarnation)
+		return follower != nil && follower.heardRound >= round
 	})
 }
--- a/control/replication/disk.go
+++ b/control/replication/disk.go
@@ -6,22 +6,22 @@
 	"eiderway/control/quorum"
 )
 
-// diskRetry is the pause before everything is written again after the disk refused a write.
+// diskRetry is the pause after a failed write before the whole state is written again.
 const diskRetry = 300 * time.Millisecond
 
-// disk keeps account of what was handed out to be written and what is known to be safe.
+// disk tracks which writes were issued and what is known to be synced.
 type disk struct {
-	issued   uint64      // number of the last write
-	open     []openWrite // not known to be safe, in order
-	bad      bool        // a write was refused; the next write puts everything on disk again
+	issued   uint64          // number of the last write
+	unsynced []unsyncedWrite // issued and not known to be synced, in order
+	failed   bool            // a write failed; the next write repeats the whole state
 	retryAt  time.Duration
-	stamp    quorum.Stamp  // safe
-	accepted quorum.ViewID // safe
-	promised quorum.Epoch  // safe
+	stamp    quorum.Stamp  // synced
+	accepted quorum.ViewID // synced
+	promised quorum.Epoch  // synced
 }
 
-// openWrite is what will be known to be safe with the write.
-type openWrite struct {
+// unsyncedWrite holds what is known to be synced once this write is.
+type unsyncedWrite struct {
 	number   uint64
 	issued   time.Duration
 	stamp    quorum.Stamp
@@ -37,15 +37,16 @@
 	}
 }
 
-// write hands out a write. While the disk is in trouble it only names the write that will repeat everything.
+// write issues a write and returns its number. After a failure it issues nothing and returns the number of the write that
+// will repeat the whole state.
 func (n *Node) write(write Write) uint64 {
-	if n.disk.bad {
+	if n.disk.failed {
 		return n.disk.issued + 1
 	}
 	n.disk.issued++
 	write.Number = n.disk.issued
 	n.effects.Writes = append(n.effects.Writes, write)
-	n.disk.open = append(n.disk.open, openWrite{
+	n.disk.unsynced = append(n.disk.unsynced, unsyncedWrite{
 		number:   write.Number,
 		issued:   n.now,
 		stamp:    n.writtenStamp(),
@@ -55,15 +56,15 @@
 	return write.Number
 }
 
-// lastWrite is the write that covers everything in memory.
+// lastWrite returns the number of the write that covers everything in memory.
 func (n *Node) lastWrite() uint64 {
-	if n.disk.bad {
+	if n.disk.failed {
 		return n.disk.issued + 1
 	}
 	return n.disk.issued
 }
 
-// writtenStamp is the stamp of the newest state that was handed out to be written.
+// writtenStamp returns the stamp of the newest state for which a write was issued, a pending change included.
 func (n *Node) writtenStamp() quorum.Stamp {
 	if n.leadership != nil && n.leadership.pending != nil {
 		return n.leadership.pending.change.Stamp
@@ -76,59 +77,59 @@
 	return n.write(Write{Voter: &record})
 }
 
-// writeState puts what leads to the newest state on disk.
+// writeState writes the mutations that lead to the newest state.
 func (n *Node) writeState(mutations []Mutation) uint64 {
 	stamp := n.writtenStamp()
 	return n.write(Write{Mutations: mutations, Stamp: &stamp})
 }
 
-// writeAll repeats the whole state.
+// writeAll writes the voter record and the whole state again.
 func (n *Node) writeAll() uint64 {
 	record := n.record
 	stamp := n.history.stamp
 	return n.write(Write{Voter: &record, Replace: true, Mutations: n.history.list(""), Stamp: &stamp})
 }
 
-func (n *Node) persisted(number uint64) {
+func (n *Node) onPersisted(number uint64) {
 	before := n.disk
-	for len(n.disk.open) > 0 && n.disk.open[0].number <= number {
-		safe := n.disk.open[0]
-		n.disk.open = n.disk.open[1:]
-		n.disk.stamp = safe.stamp
-		n.disk.accepted = safe.accepted
-		n.disk.promised = safe.promised
+	for len(n.disk.unsynced) > 0 && n.disk.unsynced[0].number <= number {
+		synced := n.disk.unsynced[0]
+		n.disk.unsynced = n.disk.unsynced[1:]
+		n.disk.stamp = synced.stamp
+		n.disk.accepted = synced.accepted
+		n.disk.promised = synced.promised
 	}
 	if before.stamp != n.disk.stamp || before.accepted != n.disk.accepted {
 		n.acknowledgeSync()
 	}
 }
 
-// diskFailed: the write and all after it may be on disk or not. Nothing is said that rests on them until everything
-// in memory has been written again. A primary can't know whether its own change lasts, so it steps down.
-func (n *Node) diskFailed(number uint64) {
-	for len(n.disk.open) > 0 && n.disk.open[len(n.disk.open)-1].number >= number {
-		n.disk.open = n.disk.open[:len(n.disk.open)-1]
+// onDiskFailed handles a failed write: it and all later ones may be on disk or not. Nothing that depends on them is sent
+// until everything in memory has been written again. A primary can't know whether its own change survives, so it steps down.
+func (n *Node) onDiskFailed(number uint64) {
+	for len(n.disk.unsynced) > 0 && n.disk.unsynced[len(n.disk.unsynced)-1].number >= number {
+		n.disk.unsynced = n.disk.unsynced[:len(n.disk.unsynced)-1]
 	}
-	n.disk.bad = true
+	n.disk.failed = true
 	n.disk.retryAt = n.now + diskRetry
 	if n.candidacy != nil {
 		n.abandonCandidacy(n.now)
 	}
 	if n.leadership != nil {
-		n.handOverAtOnce()
-		n.stepDown("the disk refused a write")
+		n.handOverIfLeading()
+		n.stepDown("a disk write failed")
 	}
 }
 
 func (n *Node) retryDisk() {
-	if !n.disk.bad || n.now < n.disk.retryAt {
+	if !n.disk.failed || n.now < n.disk.retryAt {
 		return
 	}
-	n.disk.bad = false
+	n.disk.failed = false
 	n.writeAll()
 }
 
-// diskHangs tells that a write has been under way for too long.
-func (n *Node) diskHangs() bool {
-	return len(n.disk.open) > 0 && n.now-n.disk.open[0].issued > n.settings.Timing.OwnDiskAfter
+// isDiskHanging reports whether a write has taken too long.
+func (n *Node) isDiskHanging() bool {
+	return len(n.disk.unsynced) > 0 && n.now-n.disk.unsynced[0].issued > n.settings.Timing.OwnDiskAfter
 }
--- a/control/replication/doc.go
+++ b/control/replication/doc.go
@@ -1,24 +1,35 @@
-// Package replication keeps the control state of the system on several controllers, so that what was acknowledged
-// outlives the loss of as many of them as the settings say.
+// Package replication replicates the control state of the system to several controllers, so that an acknowledged change
+// survives the loss of as many controllers as the settings tolerate.
 //
-// A primary makes each change; it is acknowledged when every copy of the primary's view has it on disk. Voters decide who
-// is primary: a candidate needs the promises of a majority of the voters of the newest view that any of them has
-// accepted, and the state of one copy of that view. There is no log that a majority agrees on: what a new primary brings
-// to the others is a whole state, and changes are kept only to bring on members that are a little behind.
+// A primary makes every change and acknowledges it once every copy of the primary's view has it on disk. Voters elect the
+// primary: a candidate needs the promises of a majority of the voters of the newest view that any of them has accepted,
+// and the state of one copy of that view. There is no log that a majority agrees on: a new primary brings a whole state to
+// the others, and changes are kept only to catch up members that are a little behind.
 //
-// A Node is a pure state machine. The host steps it with what happens and carries out the effects: it writes in order,
-// and lets no message leave before the write that the message speaks of is on disk. By concern:
+// Terms:
 //
-//	node.go        what comes in, and what callers may ask
-//	disk.go        which writes are known to be safe
-//	history.go     the state, and the changes that led to it
-//	election.go    when to stand, and how to win; candidacy.go: what a candidate knows; vote.go: the voters' side
-//	founding.go    the first view
-//	primary.go     a term of office; leadership.go and follower.go: what is known in it
-//	sending.go     what goes to whom; commit.go: when a change is committed; confirm.go: who is still the primary
-//	views.go       changing the view; members.go: who is to be copy or voter
-//	backup.go      following a primary; snapshot.go: a whole state in pieces
-//	joining.go     becoming a member; leaving.go: ending
+//	core      the voters of the newest committed view
+//	voter     a member that counts for majorities
+//	copy      a voter that must have a change on disk before it is acknowledged
+//	learner   a controller without a vote that the primary keeps up to date
+//	standby   a controller that the primary has told that the core is full
+//	round     one message of the primary to all of its followers; answers carry its number
+//	restamp   the change without mutations with which a new primary moves the state to its own epoch
+//	founding  the start of a new system: the first view is agreed by a majority of the seeds
 //
-// Safety rests on promises and majorities only, never on a clock. Times decide when a node tries something.
+// A Node is a pure state machine. The host steps it with what happens and carries out the effects: it writes in order and
+// holds back each message until the write that the message depends on is on disk. The files:
+//
+//	node.go        inputs, dispatch of messages, and queries of the host
+//	disk.go        writes, and which of them are known to be synced
+//	history.go     the state and the most recent changes that led to it
+//	election.go    when to stand for election, and how to win; candidacy.go: state of a candidate; vote.go: the voters' side
+//	founding.go    election of the first primary of a new system
+//	primary.go     work of a primary; leadership.go and follower.go: its state
+//	sending.go     messages of a primary; commit.go: when a change is committed; confirm.go: proof that it is still primary
+//	views.go       changes of the view; members.go: who becomes or stays a copy or voter
+//	backup.go      following a primary; snapshot.go: transfer of a whole state in pieces
+//	joining.go     becoming a member; leaving.go: handing over and leaving before the process ends
+//
+// Safety rests only on promises and majorities, never on a clock. Timeouts only decide when a node tries something.
 package replication
--- a/control/replication/election.go
+++ b/control/replication/election.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// resendAfter: a question to voters is asked again after this, since messages get lost.
-	resendAfter = 200 * time.Millisecond
-	// pollLimit ends a poll that found no majority.
-	pollLimit = 600 * time.Millisecond
-	// prepareLimit ends a candidacy without a majority's promises. A slowed disk takes 0.3 s for the own promise and as
-	// long for each other, all at once.
-	prepareLimit = 2 * time.Second
+	// resendQuestionAfter is when an unanswered question to voters is sent again, since messages get lost.
+	resendQuestionAfter = 200 * time.Millisecond
+	// pollTimeout ends a poll that found no majority.
+	pollTimeout = 600 * time.Millisecond
+	// prepareTimeout ends a candidacy without the promises of a majority. A slow disk takes 0.3 s to sync the candidate's own
+	// promise, and then as long for the promises of the others, which sync at the same time.
+	prepareTimeout = 2 * time.Second
 	// retryJitter spreads the attempts of candidates that collided.
 	retryJitter = 400 * time.Millisecond
 )
 
-// tickElection looks whether it is time to stand, and repeats what got no answer.
+// tickElection starts a candidacy when it is time, and repeats questions that got no answer.
 func (n *Node) tickElection() {
 	if n.candidacy != nil {
 		n.tickCandidacy()
 		return
 	}
-	if n.disk.bad || n.diskHangs() || n.leaving.asked {
+	if n.disk.failed || n.isDiskHanging() || n.leaving.requested {
 		return
 	}
-	patience, may := n.patience()
-	if may && n.now-n.silentSince >= patience {
+	timeout, mayStand := n.electionTimeout()
+	if mayStand && n.now-n.silentSince >= timeout {
 		n.poll()
 	}
 }
 
-// patience is how long this node bears silence before it stands. Copies stand first, one after the other; a voter that
-// isn't a copy stands only when no copy does.
-func (n *Node) patience() (time.Duration, bool) {
+// electionTimeout returns how long this node waits in silence before it stands for election, and whether it may stand.
+// Voters stand one after the other, those that are copies first; a voter that isn't a copy stands only when no copy does.
+func (n *Node) electionTimeout() (time.Duration, bool) {
 	if n.mayFound() {
-		return n.foundingPatience(), true
+		return n.foundingTimeout(), true
 	}
 	if n.record.Accepted.ID == (quorum.ViewID{}) {
 		return 0, false
@@ -54,41 +54,41 @@
 	if place == len(n.known.Voters) {
 		return 0, false
 	}
-	patience := timing.ElectionAfter + time.Duration(place)*timing.ElectionStep
+	timeout := timing.ElectionAfter + time.Duration(place)*timing.ElectionStep
 	if !n.known.HasCopy(n.self.Incarnation) {
-		patience += timing.ElectionAfter + time.Duration(len(n.known.Voters))*timing.ElectionStep
+		timeout += timing.ElectionAfter + time.Duration(len(n.known.Voters))*timing.ElectionStep
 	}
-	return patience, true
+	return timeout, true
 }
 
 func (n *Node) tickCandidacy() {
-	age := n.now - n.candidacy.began
+	age := n.now - n.candidacy.phaseBeganAt
 	switch n.candidacy.phase {
 	case polling:
-		if age > pollLimit {
-			n.abandonCandidacy(n.retrySoon())
+		if age > pollTimeout {
+			n.abandonCandidacy(n.silenceStartForRetry())
 			return
 		}
 	case preparing:
-		if age > prepareLimit {
-			n.abandonCandidacy(n.retrySoon())
+		if age > prepareTimeout {
+			n.abandonCandidacy(n.silenceStartForRetry())
 			return
 		}
 	case fetching:
 		if n.fetch == nil {
-			n.abandonCandidacy(n.retrySoon())
+			n.abandonCandidacy(n.silenceStartForRetry())
 		}
 		return
 	}
-	if n.now-n.candidacy.asked >= resendAfter {
+	if n.now-n.candidacy.askedAt >= resendQuestionAfter {
 		n.askVoters()
 	}
 }
 
-// retrySoon is a beginning of silence that lets this node stand again after a short time of its own.
-func (n *Node) retrySoon() time.Duration {
-	patience, _ := n.patience()
-	return n.now - patience + n.settings.Timing.ElectionStep + n.jitter(retryJitter)
+// silenceStartForRetry returns the value of silentSince with which this node stands again after a short, random time.
+func (n *Node) silenceStartForRetry() time.Duration {
+	timeout, _ := n.electionTimeout()
+	return n.now - timeout + n.settings.Timing.ElectionStep + n.jitter(retryJitter)
 }
 
 func (n *Node) abandonCandidacy(silentSince time.Duration) {
@@ -97,15 +97,15 @@
 	n.silentSince = silentSince
 }
 
-// poll asks, before any epoch is raised, whether others miss the primary as well. So a node that a one-way cut or its own
-// freeze keeps from hearing a good primary does not unseat it.
+// poll asks, before any epoch is raised, whether others miss the primary as well. So a node that doesn't hear a working
+// primary because of a one-way cut or its own freeze does not displace it.
 func (n *Node) poll() {
 	n.candidacy = &candidacy{
-		phase:    polling,
-		request:  n.nextRequest(),
-		began:    n.now,
-		founding: n.mayFound(),
-		missing:  []quorum.Member{n.self},
+		phase:          polling,
+		request:        n.nextRequest(),
+		phaseBeganAt:   n.now,
+		founding:       n.mayFound(),
+		missingPrimary: []quorum.Member{n.self},
 	}
 	n.askVoters()
 }
@@ -119,46 +119,47 @@
 	n.record.Promised = epoch
 	n.fetch = nil
 	n.candidacy = &candidacy{
-		phase:    preparing,
-		request:  n.nextRequest(),
-		began:    n.now,
-		founding: n.mayFound(),
-		handover: handover,
-		epoch:    epoch,
-		ownWrite: n.writeRecord(),
-	}
-	n.event("stands for election", fmt.Sprintf("epoch %d", epoch))
+		phase:        preparing,
+		request:      n.nextRequest(),
+		phaseBeganAt: n.now,
+		founding:     n.mayFound(),
+		handover:     handover,
+		epoch:        epoch,
+		ownWrite:     n.writeRecord(),
+	}
+	n.logEvent("stands for election", fmt.Sprintf("epoch %d", epoch))
 	n.askVoters()
 }
 
-// askVoters sends the question of the phase to all who may answer it and haven't.
+// askVoters sends the question of the current phase to all members of the electorate that have not answered it.
 func (n *Node) askVoters() {
-	stand := n.candidacy
-	stand.asked = n.now
+	candidacy := n.candidacy
+	candidacy.askedAt = n.now
 	for _, member := range n.electorate() {
-		if stand.answeredBy(member) {
+		if candidacy.answeredBy(member) {
 			continue
 		}
-		message := Message{Epoch: stand.epoch, Request: stand.request}
+		message := Message{Epoch: candidacy.epoch, Request: candidacy.request}
 		var after uint64
-		if stand.phase == polling {
+		if candidacy.phase == polling {
 			message.Poll = &Poll{View: n.known.ID}
 		} else {
-			message.Prepare = n.prepareMessage()
-			after = stand.ownWrite
+			message.Prepare = n.newPrepare()
+			after = candidacy.ownWrite
 		}
 		n.sendTo(member, after, message)
 	}
 }
 
-func (n *Node) prepareMessage() *Prepare {
+func (n *Node) newPrepare() *Prepare {
 	if n.candidacy.founding {
 		return &Prepare{Seeds: n.sortedSeeds(), Handover: n.candidacy.handover}
 	}
 	return &Prepare{View: n.known, Handover: n.candidacy.handover}
 }
 
-// electorate is who is asked: the voters of every view that has come up, or the seeds.
+// electorate returns the members that are asked: the other voters of the newest view and of every view in a promise, or the
+// other seeds when founding.
 func (n *Node) electorate() []quorum.Member {
 	if n.candidacy.founding {
 		return n.otherSeeds()
@@ -185,8 +186,8 @@
 }
 
 func (n *Node) onPollAnswer(message Message) {
-	stand := n.candidacy
-	if stand == nil || stand.phase != polling || message.Request != stand.request {
+	candidacy := n.candidacy
+	if candidacy == nil || candidacy.phase != polling || message.Request != candidacy.request {
 		n.drop()
 		return
 	}
@@ -194,7 +195,7 @@
 	n.learnEpoch(answer.Promised)
 	if answer.View != nil {
 		n.learnView(*answer.View)
-		if stand.founding {
+		if candidacy.founding {
 			n.abandonCandidacy(n.now)
 			return
 		}
@@ -203,24 +204,24 @@
 			return
 		}
 	}
-	if stand.founding && !answer.MayFound {
+	if candidacy.founding && !answer.MayFound {
 		return
 	}
-	if answer.Missing && !stand.answeredBy(message.From) {
-		stand.missing = append(stand.missing, message.From)
+	if answer.Missing && !candidacy.answeredBy(message.From) {
+		candidacy.missingPrimary = append(candidacy.missingPrimary, message.From)
 	}
 }
 
 func (n *Node) onPromise(message Message) {
-	stand := n.candidacy
-	if stand == nil || stand.phase != preparing || message.Request != stand.request || message.Epoch != stand.epoch {
+	candidacy := n.candidacy
+	if candidacy == nil || candidacy.phase != preparing || message.Request != candidacy.request || message.Epoch != candidacy.epoch {
 		n.drop()
 		return
 	}
-	if stand.answeredBy(message.From) {
+	if candidacy.answeredBy(message.From) {
 		return
 	}
-	stand.promises = append(stand.promises, promiseGiven{
+	candidacy.promises = append(candidacy.promises, receivedPromise{
 		member:   message.From,
 		accepted: message.Promise.Accepted,
 		stamp:    message.Promise.Stamp,
@@ -233,15 +234,15 @@
 	refusal := message.Refusal
 	switch {
 	case n.candidacy != nil && message.Request == n.candidacy.request && message.Epoch == n.candidacy.epoch:
-		n.candidacyRefused(refusal)
+		n.onCandidacyRefusal(refusal)
 	case n.leadership != nil && n.leadership.asked(message):
-		n.primaryRefused(message)
+		n.onPrimaryRefusal(message)
 	default:
 		n.drop()
 	}
 }
 
-func (n *Node) candidacyRefused(refusal *Refusal) {
+func (n *Node) onCandidacyRefusal(refusal *Refusal) {
 	n.learnEpoch(refusal.Promised)
 	if refusal.View != nil {
 		n.learnView(*refusal.View)
@@ -251,15 +252,15 @@
 		return
 	}
 	if refusal.Promised >= n.candidacy.epoch {
-		n.abandonCandidacy(n.retrySoon())
+		n.abandonCandidacy(n.silenceStartForRetry())
 	}
 }
 
-// evaluateCandidacy goes on to the next phase where the answers allow it.
+// evaluateCandidacy enters the next phase when the answers allow it.
 func (n *Node) evaluateCandidacy() {
 	switch n.candidacy.phase {
 	case polling:
-		if n.enoughMissing() {
+		if n.hasPollMajority() {
 			n.prepare(n.candidacy.handover)
 		}
 	case preparing:
@@ -268,13 +269,13 @@
 	}
 }
 
-func (n *Node) enoughMissing() bool {
-	stand := n.candidacy
-	if stand.founding {
-		return len(stand.missing) >= majorityOf(len(n.settings.Seeds))
+func (n *Node) hasPollMajority() bool {
+	candidacy := n.candidacy
+	if candidacy.founding {
+		return len(candidacy.missingPrimary) >= majorityOf(len(n.settings.Seeds))
 	}
 	return n.known.IsMajority(func(incarnation quorum.Incarnation) bool {
-		return containsMember(stand.missing, incarnation)
+		return containsMember(candidacy.missingPrimary, incarnation)
 	})
 }
 
@@ -282,11 +283,11 @@
 
 // countOwnPromise counts this node's own promise once it is on disk.
 func (n *Node) countOwnPromise() {
-	stand := n.candidacy
-	if n.disk.promised < stand.epoch || stand.answeredBy(n.self) {
+	candidacy := n.candidacy
+	if n.disk.promised < candidacy.epoch || candidacy.answeredBy(n.self) {
 		return
 	}
-	stand.promises = append(stand.promises, promiseGiven{
+	candidacy.promises = append(candidacy.promises, receivedPromise{
 		member:   n.self,
 		accepted: n.record.Accepted,
 		stamp:    n.history.stamp,
@@ -294,9 +295,9 @@
 }
 
 func (n *Node) evaluatePromises() {
-	stand := n.candidacy
+	candidacy := n.candidacy
 	newest := quorum.View{}
-	for _, promise := range stand.promises {
+	for _, promise := range candidacy.promises {
 		if newest.ID.Less(promise.accepted.ID) {
 			newest = promise.accepted
 		}
@@ -308,19 +309,19 @@
 	if _, votes := newest.Voter(n.self.Incarnation); !votes {
 		return
 	}
-	if !newest.IsMajority(stand.promisedBy) {
+	if !newest.IsMajority(candidacy.promisedBy) {
 		return
 	}
-	if newest.HasCopy(n.self.Incarnation) || n.guards.anyVoterLeads {
+	if newest.HasCopy(n.self.Incarnation) || n.guards.anyVoterTakesOver {
 		n.takeOver(newest)
 		return
 	}
-	source, found := stand.bestCopy(newest)
+	source, found := candidacy.bestCopy(newest)
 	if !found {
 		return
 	}
-	stand.phase = fetching
-	stand.began = n.now
-	stand.base = newest
-	n.startFetch(source.member, stand.epoch, source.stamp)
+	candidacy.phase = fetching
+	candidacy.phaseBeganAt = n.now
+	candidacy.base = newest
+	n.startFetch(source.member, candidacy.epoch, source.stamp)
 }
--- a/control/replication/founding.go
+++ b/control/replication/founding.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// foundingPatience lets the processes of a first start begin to listen.
-	foundingPatience = 100 * time.Millisecond
-	// foundingWait is how long a founding candidate with a majority waits for the remaining seeds.
-	foundingWait = 1500 * time.Millisecond
+	// foundingStartDelay gives the processes of a first start time to begin to listen.
+	foundingStartDelay = 100 * time.Millisecond
+	// foundingSeedWait is how long a founding candidate with a majority waits for the remaining seeds.
+	foundingSeedWait = 1500 * time.Millisecond
 )
 
-// mayFound tells whether this node may take part in founding a core: it is a seed of the first start and has accepted
-// no view yet.
+// mayFound reports whether this node may take part in founding a core: it is a seed, was started for the first time, and has
+// accepted no view yet.
 func (n *Node) mayFound() bool {
 	return n.record.MayFound && n.record.Accepted.ID == (quorum.ViewID{}) && n.isSeed()
 }
 
-// mayFoundWith tells whether it may do so with a candidate that has these seeds.
+// mayFoundWith reports whether this node may take part in founding a core with a candidate that has these seeds.
 func (n *Node) mayFoundWith(seeds []string) bool {
 	return n.mayFound() && slices.Equal(seeds, n.sortedSeeds())
 }
@@ -33,7 +33,7 @@
 	return slices.Compact(seeds)
 }
 
-// otherSeeds are the seeds as members of whom only the address is known.
+// otherSeeds returns the other seeds as members of which only the address is known.
 func (n *Node) otherSeeds() []quorum.Member {
 	var others []quorum.Member
 	for _, address := range n.sortedSeeds() {
@@ -44,42 +44,43 @@
 	return others
 }
 
-// foundingPatience lets one seed after the other stand. Where a view has been accepted by somebody, its voters have time
-// to stand first; only if that comes to nothing is the founding tried again.
-func (n *Node) foundingPatience() time.Duration {
+// foundingTimeout returns how long a seed waits before it stands to found the core. It grows with the place of the seed, so
+// that one stands after the other. If a view is known, its voters get time to stand first; founding is tried again only if
+// that fails.
+func (n *Node) foundingTimeout() time.Duration {
 	place := slices.Index(n.sortedSeeds(), n.self.Address)
 	timing := n.settings.Timing
-	patience := timing.ElectionAfter/2 + foundingPatience + time.Duration(place)*timing.ElectionStep
+	timeout := timing.ElectionAfter/2 + foundingStartDelay + time.Duration(place)*timing.ElectionStep
 	if n.known.ID != (quorum.ViewID{}) {
-		patience += strandedAfter
+		timeout += strandedAfter
 	}
-	return patience
+	return timeout
 }
 
-// evaluateFounding founds a core when a majority of the seeds, by address, have promised and none of them knows a view.
-// It waits a little for all of them.
+// evaluateFounding founds a core when a majority of the seeds, by address, have promised and none has accepted a view.
+// It waits a short time for the rest of them.
 func (n *Node) evaluateFounding() {
-	stand := n.candidacy
-	if !stand.founding {
+	candidacy := n.candidacy
+	if !candidacy.founding {
 		return
 	}
 	seeds := n.sortedSeeds()
-	members := stand.foundersAmong(seeds)
+	members := candidacy.foundersAmong(seeds)
 	if len(members) < majorityOf(len(seeds)) || !containsMember(members, n.self.Incarnation) {
 		return
 	}
-	if !stand.hasEnough {
-		stand.hasEnough = true
-		stand.enoughAt = n.now
-		stand.began = n.now // the limit of the candidacy counts from here
+	if !candidacy.hasMajority {
+		candidacy.hasMajority = true
+		candidacy.majorityAt = n.now
+		candidacy.phaseBeganAt = n.now // the timeout of the candidacy counts from here
 	}
-	if len(members) < len(seeds) && n.now-stand.enoughAt < foundingWait {
+	if len(members) < len(seeds) && n.now-candidacy.majorityAt < foundingSeedWait {
 		return
 	}
 	n.takeOver(quorum.View{Voters: members})
 }
 
-// foundersAmong returns who has promised, one for each seed, sorted by incarnation.
+// foundersAmong returns the members that have promised, one for each seed, sorted by incarnation.
 func (c *candidacy) foundersAmong(seeds []string) []quorum.Member {
 	var members []quorum.Member
 	for _, address := range seeds {
--- a/control/replication/guards_test.go
+++ b/control/replication/guards_test.go
@@ -2,55 +2,56 @@
 
 import "testing"
 
-// TestEachGuardIsNeeded takes one guard out at a time. The same worlds that are kept whole with all guards must break.
-func TestEachGuardIsNeeded(t *testing.T) {
+// TestEachGuardIsNecessary switches off one safety rule at a time. Scenarios and random worlds that hold with all rules must then
+// fail; otherwise the tests could not detect that the rule is missing.
+func TestEachGuardIsNecessary(t *testing.T) {
 	cases := []struct {
 		name     string
-		without  disabledGuards
-		scenario string // where the random search is not enough
+		disabled disabledGuards
+		scenario string // used where the random search doesn't find the violation
 	}{
-		{"a promise is on disk before it is spoken", disabledGuards{promiseBeforeSync: true}, "guard-promise"},
-		{"a backup refuses lower epochs", disabledGuards{lowerEpochTaken: true}, "guard-epoch"},
+		{"a promise is on disk before it is sent", disabledGuards{promiseBeforeSync: true}, "guard-promise"},
+		{"a backup refuses lower epochs", disabledGuards{lowerEpochAccepted: true}, "guard-epoch"},
 		{"all copies have a change", disabledGuards{oneCopyMayLag: true}, ""},
-		{"there are tolerance + 1 copies", disabledGuards{noFloor: true}, ""},
-		{"a majority is heard for a confirmation", disabledGuards{confirmAlone: true}, "guard-confirm"},
-		{"one view change at a time", disabledGuards{manyViewChanges: true}, "guard-view-changes"},
+		{"there are tolerance + 1 copies", disabledGuards{noMinCopies: true}, ""},
+		{"a majority answers for a confirmation", disabledGuards{confirmWithoutMajority: true}, "guard-confirm"},
+		{"one view change at a time", disabledGuards{concurrentViewChanges: true}, "guard-view-changes"},
 		{"an empty disk has no vote", disabledGuards{emptyDiskVotes: true}, "guard-empty-disk"},
-		{"a takeover needs a copy of the newest view", disabledGuards{anyVoterLeads: true}, "guard-copy"},
-		{"a core is founded once", disabledGuards{foundingRepeats: true}, "guard-founding"},
+		{"a takeover needs a copy of the newest view", disabledGuards{anyVoterTakesOver: true}, "guard-copy"},
+		{"a core is founded once", disabledGuards{foundingRepeatable: true}, "guard-founding"},
 		{"the state is synced before the view", disabledGuards{viewBeforeRestamp: true}, "guard-restamp"},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
+	for _, guard := range cases {
+		t.Run(guard.name, func(t *testing.T) {
 			t.Parallel()
 			found := ""
-			if one.scenario != "" {
-				found = breakScenario(one.scenario, one.without)
+			if guard.scenario != "" {
+				found = breakScenario(guard.scenario, guard.disabled)
 			} else {
-				found = breakRandomWorlds(one.without)
+				found = breakRandomWorlds(guard.disabled)
 			}
 			if found == "" {
-				t.Fatal("nothing breaks without this guard")
+				t.Fatal("no violation found with this guard disabled")
 			}
 			t.Log(found)
 		})
 	}
 }
 
-func breakScenario(name string, without disabledGuards) string {
+func breakScenario(name string, disabled disabledGuards) string {
 	for seed := int64(1); seed <= 40; seed++ {
-		if err := playScenario("testdata/"+name+".txt", seed, without, nil); err != nil {
+		if err := playScenario("testdata/"+name+".txt", seed, disabled, nil); err != nil {
 			return err.Error()
 		}
 	}
 	return ""
 }
 
-func breakRandomWorlds(without disabledGuards) string {
+func breakRandomWorlds(disabled disabledGuards) string {
 	for seed := int64(1); seed <= 300; seed++ {
-		for _, form := range shapes() {
-			if broken := randomWorld(seed, form, without, troubles()); broken != "" {
-				return broken
+		for _, shape := range shapes() {
+			if violation := randomWorld(seed, shape, disabled, faults()); violation != "" {
+				return violation
 			}
 		}
 	}
--- a/control/replication/history.go
+++ b/control/replication/history.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// keptChanges bounds what is remembered for members that are a little behind.
-	keptChanges = 512
-	// keptBytes bounds the same in memory: a machine may have less than 200 MB.
-	keptBytes = 2 << 20
-	// mutationOverhead is what a mutation takes beside key and value.
+	// maxKeptChanges bounds the changes that are kept for members that are a little behind.
+	maxKeptChanges = 512
+	// maxKeptBytes bounds their memory: a machine may have less than 200 MB.
+	maxKeptBytes = 2 << 20
+	// mutationOverhead is the estimated size of a mutation beyond its key and value.
 	mutationOverhead = 16
-	// smallState: up to this size changes are sent rather than a snapshot, whatever the size of the state.
-	smallState = 1 << 10
+	// smallStateBytes is the total size up to which changes are sent rather than a snapshot, however small the state is.
+	smallStateBytes = 1 << 10
 )
 
-// history is the state with the changes that led to it.
+// history holds the state and the most recent changes that led to it.
 type history struct {
-	entries map[string][]byte
-	groups  map[string]map[string][]byte // the same entries by the start of their keys, up to the first slash
-	size    int                          // bytes of all entries
-	stamp   quorum.Stamp
-	changes []Change // the newest, each applying to the one before; the last led to the stamp
-	bytes   int      // of the changes
+	entries     map[string][]byte
+	groups      map[string]map[string][]byte // the same entries by the part of their keys before the first slash
+	size        int                          // bytes of all entries
+	stamp       quorum.Stamp
+	changes     []Change // newest changes, each applying to the state after the one before; the last led to the stamp
+	changeBytes int      // total size of the changes
 }
 
 func newHistory(stamp quorum.Stamp, entries map[string][]byte) history {
-	kept := history{entries: make(map[string][]byte, len(entries)), groups: map[string]map[string][]byte{}, stamp: stamp}
+	created := history{entries: make(map[string][]byte, len(entries)), groups: map[string]map[string][]byte{}, stamp: stamp}
 	for key, value := range entries {
-		kept.put(key, value)
+		created.put(key, value)
 	}
-	return kept
+	return created
 }
 
-// groupOf is the start of a key that it shares with entries of its kind.
+// groupOf returns the part of a key before the first slash, which entries of one kind share.
 func groupOf(key string) string {
 	start, _, _ := strings.Cut(key, "/")
 	return start
@@ -74,7 +74,7 @@
 	return size
 }
 
-// apply makes one change.
+// apply applies one change.
 func (h *history) apply(change Change) {
 	for _, mutation := range change.Mutations {
 		if mutation.Delete {
@@ -85,15 +85,15 @@
 	}
 	h.stamp = change.Stamp
 	h.changes = append(h.changes, change)
-	h.bytes += changeSize(change)
-	for len(h.changes) > keptChanges || (h.bytes > keptBytes && len(h.changes) > 1) {
-		h.bytes -= changeSize(h.changes[0])
+	h.changeBytes += changeSize(change)
+	for len(h.changes) > maxKeptChanges || (h.changeBytes > maxKeptBytes && len(h.changes) > 1) {
+		h.changeBytes -= changeSize(h.changes[0])
 		h.changes = h.changes[1:]
 	}
 }
 
-// since returns the changes that lead from the stamp to the present state, if they are all kept.
-func (h *history) since(stamp quorum.Stamp) ([]Change, bool) {
+// changesSince returns the changes that lead from the stamp to the current state, if all of them are kept.
+func (h *history) changesSince(stamp quorum.Stamp) ([]Change, bool) {
 	if stamp == h.stamp {
 		return nil, true
 	}
@@ -105,9 +105,9 @@
 	return nil, false
 }
 
-// worthwhile tells that sending the changes costs no more than sending the state.
-func (h *history) worthwhile(changes []Change) bool {
-	limit := max(h.size, smallState)
+// prefersChanges reports whether the changes should be sent rather than the state: they are no larger, or there is only one.
+func (h *history) prefersChanges(changes []Change) bool {
+	limit := max(h.size, smallStateBytes)
 	for _, change := range changes {
 		limit -= changeSize(change)
 		if limit < 0 {
--- a/control/replication/joining.go
+++ b/control/replication/joining.go
@@ -6,36 +6,37 @@
 	"eiderway/control/quorum"
 )
 
-// strandedAfter: a voter that has heard no primary for this long asks the seeds too; all members that it knows may be gone.
+// strandedAfter is how long a voter hears no primary before it sends join requests, also to the seeds: all members that it
+// knows may be gone.
 const strandedAfter = 3 * time.Second
 
 const (
-	// standbyRetry is between questions of a standby, which the core doesn't want as a member now: it is to hear of a new primary
-	// before callers have given up, and hundreds of standbys must cost the primary little.
-	standbyRetry = 2 * time.Second
-	// mostAsked bounds how many are asked at a time: after a loss of power all ask at once.
-	mostAsked = 4
+	// standbyJoinRetry is the interval between the join requests of a standby: short enough that it hears of a new primary before
+	// callers give up, and long enough that hundreds of standbys cost the primary little.
+	standbyJoinRetry = 2 * time.Second
+	// maxJoinTargets bounds how many members are asked at a time: after a power loss all controllers ask at once.
+	maxJoinTargets = 4
 )
 
-// joining is the attempt of a node that is not a voter to become one.
+// joining is the state of the attempts of a node to become a voter.
 type joining struct {
-	asked    time.Duration
-	request  uint64
-	answered bool          // the last question has an answer
-	primary  quorum.Member // as last told
-	told     bool
-	standby  bool // the primary has members enough
+	askedAt      time.Duration
+	request      uint64
+	answered     bool          // the last request was answered
+	primary      quorum.Member // as in the last answer that named one
+	primaryKnown bool
+	coreFull     bool // by the last answer, the primary has enough members
 }
 
-// tickJoining asks to be brought up as long as no primary does so.
+// tickJoining asks to join as long as no primary is heard.
 func (n *Node) tickJoining() {
-	if n.leaving.asked || n.candidacy != nil {
+	if n.leaving.requested || n.candidacy != nil {
 		return
 	}
-	if n.joining.request != 0 && n.now-n.joining.asked < n.joinPause() {
+	if n.joining.request != 0 && n.now-n.joining.askedAt < n.joinInterval() {
 		return
 	}
-	following := n.leader.known && n.now-n.leader.heard < n.settings.Timing.ElectionAfter
+	following := n.leader.known && n.now-n.leader.heardAt < n.settings.Timing.ElectionAfter
 	if following {
 		return
 	}
@@ -44,7 +45,7 @@
 		return
 	}
 	targets := n.joinTargets()
-	n.joining.asked = n.now
+	n.joining.askedAt = n.now
 	n.joining.answered = false
 	n.joining.request = n.nextRequest()
 	for _, member := range targets {
@@ -52,21 +53,21 @@
 	}
 }
 
-// isStandby tells whether the primary has said, in answer to the last question, that it wants no more members.
-func (n *Node) isStandby() bool { return n.joining.standby && n.joining.answered }
+// isStandby reports whether the primary said in answer to the last request that the core is full.
+func (n *Node) isStandby() bool { return n.joining.coreFull && n.joining.answered }
 
-func (n *Node) joinPause() time.Duration {
+func (n *Node) joinInterval() time.Duration {
 	if n.isStandby() {
-		return standbyRetry
+		return standbyJoinRetry
 	}
 	return n.settings.Timing.JoinRetry
 }
 
-// joinTargets is the primary for a standby, as long as it answers; else some of those that may know it: the primary that was told last,
-// voters known, and seeds.
+// joinTargets returns whom to ask: for a standby only the primary, as long as it answers; else some of those that may know the
+// primary, which are the primary named last, the known voters, and the seeds.
 func (n *Node) joinTargets() []quorum.Member {
 	var targets []quorum.Member
-	if n.joining.told {
+	if n.joining.primaryKnown {
 		targets = append(targets, n.joining.primary)
 	}
 	if n.isStandby() {
@@ -76,8 +77,8 @@
 	for _, seed := range n.otherSeeds() {
 		others = appendByAddress(others, seed)
 	}
-	for count := len(others); count > 0 && len(targets) < mostAsked; count-- {
-		drawn := int(n.chance() % uint64(count))
+	for count := len(others); count > 0 && len(targets) < maxJoinTargets; count-- {
+		drawn := int(n.nextRandom() % uint64(count))
 		targets = appendByAddress(targets, others[drawn])
 		others[drawn] = others[count-1]
 	}
@@ -93,49 +94,49 @@
 	return append(members, member)
 }
 
-// onJoin brings a newcomer up, or tells it who does.
+// onJoin makes the sender a learner, or tells it whom to ask.
 func (n *Node) onJoin(message Message) {
 	if n.leadership == nil {
 		n.answerJoin(message)
 		return
 	}
-	lead := n.leadership
+	leadership := n.leadership
 	n.learnEpoch(message.Epoch)
-	if one := lead.follower(message.From.Incarnation); one != nil {
-		n.sendAppend(one)
+	if follower := leadership.follower(message.From.Incarnation); follower != nil {
+		n.sendAppend(follower)
 		return
 	}
 	if !n.wantsLearner(message.From) {
-		n.answerFull(message)
+		n.answerCoreFull(message)
 		return
 	}
-	one := &follower{member: message.From, heard: n.now, learner: true}
-	lead.addFollower(one)
-	n.sendAppend(one)
+	follower := &follower{member: message.From, heardAt: n.now, learner: true}
+	leadership.addFollower(follower)
+	n.sendAppend(follower)
 }
 
-// wantsLearner tells whether a newcomer is brought up: where a vote is free, or as one of few that wait for one.
+// wantsLearner reports whether a newcomer becomes a learner: if the core has room for it, or as one of a few warm standbys.
 func (n *Node) wantsLearner(newcomer quorum.Member) bool {
-	lead := n.leadership
-	view := lead.base
-	if lead.phase == leading {
-		view = lead.committed
+	leadership := n.leadership
+	view := leadership.base
+	if leadership.phase == leading {
+		view = leadership.committed
 	}
 	learners := 0
-	for _, one := range lead.followers {
-		if one.learner {
+	for _, follower := range leadership.followers {
+		if follower.learner {
 			learners++
 		}
 	}
-	if n.hasPlaceFor(view, newcomer) {
-		return learners < mostLearners
+	if n.hasRoomFor(view, newcomer) {
+		return learners < maxLearners
 	}
-	return learners < warmStandbys
+	return learners < maxWarmStandbys
 }
 
-// answerFull sends a newcomer away that isn't wanted now. It hears who leads.
-func (n *Node) answerFull(message Message) {
-	n.answer(message, 0, Message{JoinAnswer: &JoinAnswer{View: n.newerView(quorum.ViewID{}), Primary: &n.self, Full: true}})
+// answerCoreFull tells a newcomer that the core is full, and who the primary is.
+func (n *Node) answerCoreFull(message Message) {
+	n.reply(message, 0, Message{JoinAnswer: &JoinAnswer{View: n.newerView(quorum.ViewID{}), Primary: &n.self, Full: true}})
 }
 
 func (n *Node) answerJoin(message Message) {
@@ -143,7 +144,7 @@
 	if primary, known := n.PrimaryMember(); known {
 		answer.Primary = &primary
 	}
-	n.answer(message, 0, Message{JoinAnswer: answer})
+	n.reply(message, 0, Message{JoinAnswer: answer})
 }
 
 func (n *Node) onJoinAnswer(message Message) {
@@ -156,17 +157,18 @@
 	}
 	if primary := message.JoinAnswer.Primary; primary != nil {
 		n.joining.primary = *primary
-		n.joining.told = true
+		n.joining.primaryKnown = true
 	}
 	n.joining.answered = true
-	n.joining.standby = message.JoinAnswer.Full && message.JoinAnswer.Primary != nil
-	if n.joining.standby {
-		n.keepHeard()
+	n.joining.coreFull = message.JoinAnswer.Full && message.JoinAnswer.Primary != nil
+	if n.joining.coreFull {
+		n.saveHeardView()
 	}
 }
 
-// keepHeard puts the view known on a standby's disk. After a loss of power the seeds may all be standbys too: they find the voters by it.
-func (n *Node) keepHeard() {
+// saveHeardView writes the newest known view to the disk of a standby. After a power loss it finds the voters by this view, even
+// if all seeds are standbys too.
+func (n *Node) saveHeardView() {
 	if n.record.Heard.ID.Less(n.known.ID) && n.record.Accepted.ID.Less(n.known.ID) {
 		n.record.Heard = n.known
 		n.writeRecord()
--- a/control/replication/leaving.go
+++ b/control/replication/leaving.go
@@ -3,44 +3,44 @@
 import "time"
 
 const (
-	// handoverRetry: a copy that was asked to stand and has not done so by then is taken for unable.
+	// handoverRetry is how long a copy gets to take over before the next one is asked.
 	handoverRetry = 700 * time.Millisecond
-	// leaveLimit: whatever has not been gained by then is not waited for; the state stays on disk.
-	leaveLimit = 3 * time.Second
+	// leaveTimeout ends the waiting for a clean departure; the state stays on disk.
+	leaveTimeout = 3 * time.Second
 )
 
-// leaving is the way out of the core.
+// leaving is the state of a departure from the core.
 type leaving struct {
-	asked bool
-	since time.Duration
-	sent  time.Duration // of the last handover
-	tried int           // copies asked to stand
+	requested      bool
+	since          time.Duration
+	handoverSentAt time.Duration // of the last handover
+	handovers      int           // handovers sent so far
 }
 
 func (n *Node) leave() {
-	if n.leaving.asked {
+	if n.leaving.requested {
 		return
 	}
-	n.leaving = leaving{asked: true, since: n.now}
+	n.leaving = leaving{requested: true, since: n.now}
 	n.tickLeaving()
 	if n.leadership == nil {
 		n.sendAnswer()
 	}
 }
 
-// HasLeft tells, after Leave, that the process may end: the primacy is handed over and this node is no copy, or nothing
-// more can be gained.
+// HasLeft reports, after Leave, whether the process may end: the primacy is handed over and this node is no longer a copy, or
+// waiting longer gains nothing.
 func (n *Node) HasLeft() bool {
-	if !n.leaving.asked {
+	if !n.leaving.requested {
 		return false
 	}
-	if n.now-n.leaving.since > leaveLimit {
+	if n.now-n.leaving.since > leaveTimeout {
 		return true
 	}
 	if n.leadership != nil {
 		return n.isAlone()
 	}
-	if len(n.disk.open) > 0 {
+	if len(n.disk.unsynced) > 0 {
 		return false
 	}
 	_, votes := n.known.Voter(n.self.Incarnation)
@@ -48,59 +48,59 @@
 		return true
 	}
 	isCommitted := !n.leader.committed.Less(n.known.ID)
-	return isCommitted && !n.known.HasCopy(n.self.Incarnation) && len(n.known.Voters) <= n.leastVoters()
+	return isCommitted && !n.known.HasCopy(n.self.Incarnation) && len(n.known.Voters) <= n.minVoters()
 }
 
-// isAlone tells that there is nobody to hand over to.
+// isAlone reports whether there is nobody to hand over to.
 func (n *Node) isAlone() bool {
-	lead := n.leadership
-	return lead.pending == nil && lead.phase == leading && len(lead.committed.Voters) == 1
+	leadership := n.leadership
+	return leadership.pending == nil && leadership.phase == leading && len(leadership.committed.Voters) == 1
 }
 
-// tickLeaving hands the primacy over, when no change is under way.
+// tickLeaving hands over the primacy when no change is pending.
 func (n *Node) tickLeaving() {
-	if !n.leaving.asked || !n.leads() || n.leadership.pending != nil {
+	if !n.leaving.requested || !n.leads() || n.leadership.pending != nil {
 		return
 	}
-	if n.leaving.tried > 0 && n.now-n.leaving.sent < handoverRetry {
+	if n.leaving.handovers > 0 && n.now-n.leaving.handoverSentAt < handoverRetry {
 		return
 	}
 	n.handOver()
 }
 
-// handOver asks the next of the copies that are up to date to stand at once.
+// handOver asks the next of the copies that are up to date to stand for election at once.
 func (n *Node) handOver() {
-	lead := n.leadership
-	var able []*follower
-	for _, one := range lead.followers {
-		ready := lead.committed.HasCopy(one.member.Incarnation) && !one.leaving && n.isUpToDate(one)
-		if ready {
-			able = append(able, one)
+	leadership := n.leadership
+	var candidates []*follower
+	for _, follower := range leadership.followers {
+		isCandidate := leadership.committed.HasCopy(follower.member.Incarnation) && !follower.leaving && n.isUpToDate(follower)
+		if isCandidate {
+			candidates = append(candidates, follower)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	one := able[n.leaving.tried%len(able)]
-	n.leaving.tried++
-	n.leaving.sent = n.now
-	n.event("hands over", one.member.Name)
-	n.sendTo(one.member, 0, Message{Epoch: lead.epoch, Handover: &Handover{Stamp: n.history.stamp}})
+	follower := candidates[n.leaving.handovers%len(candidates)]
+	n.leaving.handovers++
+	n.leaving.handoverSentAt = n.now
+	n.logEvent("handing over primacy", follower.member.Name)
+	n.sendTo(follower.member, 0, Message{Epoch: leadership.epoch, Handover: &Handover{Stamp: n.history.stamp}})
 }
 
-// handOverAtOnce is for a primary whose own disk fails it.
-func (n *Node) handOverAtOnce() {
+// handOverIfLeading hands over before a primary steps down because of its disk.
+func (n *Node) handOverIfLeading() {
 	if n.leads() {
 		n.handOver()
 	}
 }
 
-// onHandover stands for election without a poll: the primary itself wants it.
+// onHandover stands for election without a poll, since the primary itself asks for it.
 func (n *Node) onHandover(message Message) {
 	fromLeader := n.leader.known && n.leader.epoch == message.Epoch && n.record.Promised == message.Epoch &&
 		n.leader.member.Incarnation == message.From.Incarnation
 	behind := n.history.stamp.Less(message.Handover.Stamp)
-	if !fromLeader || behind || n.leaving.asked || n.disk.bad || n.diskHangs() || !n.known.HasCopy(n.self.Incarnation) {
+	if !fromLeader || behind || n.leaving.requested || n.disk.failed || n.isDiskHanging() || !n.known.HasCopy(n.self.Incarnation) {
 		n.drop()
 		return
 	}
--- a/control/replication/members.go
+++ b/control/replication/members.go
@@ -7,38 +7,40 @@
 )
 
 const (
-	// firstPenalty keeps a copy whose disk was too slow out for a while; it doubles up to lastPenalty.
-	firstPenalty = 2 * time.Second
-	lastPenalty  = 16 * time.Second
-	// learnerLostAfter: a newcomer that has been silent for this long is forgotten.
+	// initialPenalty is how long a copy whose disk was too slow is not made a copy again. It doubles up to maxPenalty.
+	initialPenalty = 2 * time.Second
+	maxPenalty     = 16 * time.Second
+	// learnerLostAfter is the silence after which a learner is forgotten.
 	learnerLostAfter = 3 * time.Second
-	// mostLearners bounds what newcomers can cost.
-	mostLearners = 16
-	// usualVoters is how many voters there are at the most, unless the tolerance asks for more: each one more is another copy to wait for and
-	// another candidate in line. Nine bear four losses. Other controllers are standbys: they send callers to the primary.
-	usualVoters = 9
-	// warmStandbys are standbys that are kept up to date, so that the place of a voter that is lost is taken at once.
-	warmStandbys = 2
+	// maxLearners bounds the work that learners can cause.
+	maxLearners = 16
+	// defaultMaxVoters is the maximum number of voters unless the tolerance needs more: each one is another copy to wait for and
+	// another candidate in an election. Nine tolerate four losses. All other controllers are standbys that send callers to the
+	// primary.
+	defaultMaxVoters = 9
+	// maxWarmStandbys is how many learners are kept up to date while the core is full, so that a lost voter is replaced at once.
+	maxWarmStandbys = 2
 )
 
-func (n *Node) mostVoters() int { return max(usualVoters, n.leastVoters()) }
+func (n *Node) maxVoters() int { return max(defaultMaxVoters, n.minVoters()) }
 
-// hasPlaceFor tells whether the view takes one voter more: voters that have been silent for long don't count, and one whose address is a
-// voter's has taken its place.
-func (n *Node) hasPlaceFor(view quorum.View, newcomer quorum.Member) bool {
-	lively := 0
+// hasRoomFor reports whether the view may get the newcomer as another voter. Voters that have been silent for long don't
+// count, and a newcomer with the address of a voter replaces that one.
+func (n *Node) hasRoomFor(view quorum.View, newcomer quorum.Member) bool {
+	reachable := 0
 	for _, voter := range view.Voters {
 		if voter.Address == newcomer.Address && voter.Incarnation != newcomer.Incarnation {
 			return true
 		}
-		if n.silence(voter.Incarnation) <= n.settings.Timing.ReplaceAfter {
-			lively++
+		if n.silenceOf(voter.Incarnation) <= n.settings.Timing.ReplaceAfter {
+			reachable++
 		}
 	}
-	return lively < n.mostVoters()
+	return reachable < n.maxVoters()
 }
 
-// nextCopies leaves out copies that lag or leave and lets in voters that have the state, as far as the floor allows.
+// nextCopies returns the copies without those that lag or leave and with the voters that have caught up, and whether they
+// differ from the view. It removes copies only if the minimum remains or as many are added.
 func (n *Node) nextCopies(view quorum.View) ([]quorum.Incarnation, bool) {
 	var wanted, grown []quorum.Incarnation
 	added := false
@@ -53,82 +55,83 @@
 			continue
 		}
 		grown = append(grown, incarnation)
-		if n.keepsCopy(incarnation) {
+		if n.staysCopy(incarnation) {
 			wanted = append(wanted, incarnation)
 		}
 	}
-	if len(wanted) >= n.floor() || (len(wanted) >= len(view.Copies) && added) {
+	if len(wanted) >= n.minCopies() || (len(wanted) >= len(view.Copies) && added) {
 		return wanted, added || len(wanted) < len(view.Copies)
 	}
 	return grown, added
 }
 
-// keepsCopy tells that the copy neither lags nor leaves.
-func (n *Node) keepsCopy(incarnation quorum.Incarnation) bool {
+// staysCopy reports whether the copy neither lags nor leaves.
+func (n *Node) staysCopy(incarnation quorum.Incarnation) bool {
 	if incarnation == n.self.Incarnation {
 		return true
 	}
-	one := n.leadership.follower(incarnation)
-	if one == nil || one.leaving {
+	follower := n.leadership.follower(incarnation)
+	if follower == nil || follower.leaving {
 		return false
 	}
 	limit := n.settings.Timing.CopyLostAfter
-	silent := n.now-one.heard > limit
-	slow := one.behind && n.now-one.behindSince > limit
-	if slow && n.heardLately(one) && n.now >= one.heldOff { // it lives, so its disk is to blame
-		one.penalty = min(max(2*one.penalty, firstPenalty), lastPenalty)
-		one.heldOff = n.now + one.penalty
+	silent := n.now-follower.heardAt > limit
+	slow := follower.behind && n.now-follower.behindSince > limit
+	if slow && n.heardRecently(follower) && n.now >= follower.heldOffUntil { // it answers, so its disk is too slow
+		follower.penalty = min(max(2*follower.penalty, initialPenalty), maxPenalty)
+		follower.heldOffUntil = n.now + follower.penalty
 	}
 	return !silent && !slow
 }
 
-// heardLately tells that hardly an answer is missing.
-func (n *Node) heardLately(one *follower) bool {
-	return n.now-one.heard <= 2*n.settings.Timing.Heartbeat
+// heardRecently reports whether the follower was heard within two heartbeats.
+func (n *Node) heardRecently(follower *follower) bool {
+	return n.now-follower.heardAt <= 2*n.settings.Timing.Heartbeat
 }
 
-// mayBecomeCopy tells that the voter has the newest state on disk. One whose disk was too slow waits, unless it is needed.
+// mayBecomeCopy reports whether the voter has the newest state on disk. One whose disk was too slow has to wait, unless there
+// are too few copies.
 func (n *Node) mayBecomeCopy(view quorum.View, incarnation quorum.Incarnation) bool {
-	one := n.leadership.follower(incarnation)
-	if one == nil || one.leaving || !n.isUpToDate(one) {
+	follower := n.leadership.follower(incarnation)
+	if follower == nil || follower.leaving || !n.isUpToDate(follower) {
 		return false
 	}
-	return n.now >= one.heldOff || len(view.Copies) < n.floor()
+	return n.now >= follower.heldOffUntil || len(view.Copies) < n.minCopies()
 }
 
-func (n *Node) isUpToDate(one *follower) bool {
-	recently := n.now-one.heard <= 3*n.settings.Timing.Heartbeat
-	return one.answered && recently && !one.synced.Less(n.history.stamp)
+func (n *Node) isUpToDate(follower *follower) bool {
+	recently := n.now-follower.heardAt <= 3*n.settings.Timing.Heartbeat
+	return follower.answered && recently && !follower.synced.Less(n.history.stamp)
 }
 
-// readyLearner is a newcomer that has the state, if the voters that live would be a majority with it.
+// readyLearner returns a learner that has caught up and may become a voter, if it and the live voters would be a majority.
 func (n *Node) readyLearner(view quorum.View) *follower {
-	for _, one := range n.leadership.followers {
-		if !one.learner || one.leaving || !n.isUpToDate(one) {
+	for _, follower := range n.leadership.followers {
+		if !follower.learner || follower.leaving || !n.isUpToDate(follower) {
 			continue
 		}
-		if _, votes := view.Voter(one.member.Incarnation); votes {
+		if _, votes := view.Voter(follower.member.Incarnation); votes {
 			continue
 		}
-		if n.hasPlaceFor(view, one.member) && n.live(view)+1 >= majorityOf(len(view.Voters)+1) {
-			return one
+		if n.hasRoomFor(view, follower.member) && n.countLive(view)+1 >= majorityOf(len(view.Voters)+1) {
+			return follower
 		}
 	}
 	return nil
 }
 
-// viewWith adds a voter that is a copy too.
-func (n *Node) viewWith(view quorum.View, one *follower) quorum.View {
+// withVoter returns the view with the follower as another voter and copy.
+func (n *Node) withVoter(view quorum.View, follower *follower) quorum.View {
 	voters := append([]quorum.Member{}, view.Voters...)
-	view.Voters = append(voters, one.member)
+	view.Voters = append(voters, follower.member)
 	sortMembers(view.Voters)
 	copies := append([]quorum.Incarnation{}, view.Copies...)
-	view.Copies = append(copies, one.member.Incarnation)
-	n.event("joined", one.member.Name)
+	view.Copies = append(copies, follower.member.Incarnation)
+	n.logEvent("joined", follower.member.Name)
 	return view
 }
 
-func without(view quorum.View, incarnation quorum.Incarnation) quorum.View {
+func withoutVoter(view quorum.View, incarnation quorum.Incarnation) quorum.View {
 	voters := []quorum.Member{}
 	for _, member := range view.Voters {
 		if member.Incarnation != incarnation {
@@ -139,82 +142,82 @@
 	return view
 }
 
-// givesWay tells that a voter that is no copy any more is to be voted out.
-func (n *Node) givesWay(view quorum.View, member quorum.Member) bool {
+// shouldVoteOut reports whether a voter that is no longer a copy is to be voted out.
+func (n *Node) shouldVoteOut(view quorum.View, member quorum.Member) bool {
 	if member.Incarnation == n.self.Incarnation || view.HasCopy(member.Incarnation) {
 		return false
 	}
-	if !n.mayVoteOut(view, member.Incarnation) {
+	if !n.canVoteOut(view, member.Incarnation) {
 		return false
 	}
 	timing := n.settings.Timing
-	silence := n.silence(member.Incarnation)
+	silence := n.silenceOf(member.Incarnation)
 	if n.hasSuccessorAtAddress(view, member) && silence > 2*timing.Heartbeat {
 		return true
 	}
-	if len(view.Voters) <= n.leastVoters() {
+	if len(view.Voters) <= n.minVoters() {
 		return false
 	}
-	if silence > timing.ReplaceAfter && n.bearsMoreWithout(view) {
+	if silence > timing.ReplaceAfter && n.toleratesMoreWithoutSilent(view) {
 		return true
 	}
-	one := n.leadership.follower(member.Incarnation)
-	return silence > timing.VoterLostAfter || (one != nil && one.leaving)
+	follower := n.leadership.follower(member.Incarnation)
+	return silence > timing.VoterLostAfter || (follower != nil && follower.leaving)
 }
 
-// bearsMoreWithout tells that without its silent voters the view bears more losses than with them. So it is as soon as
-// successors are in. One fewer of an odd number changes nothing.
-func (n *Node) bearsMoreWithout(view quorum.View) bool {
+// toleratesMoreWithoutSilent reports whether the view tolerates more losses without its silent voters than with them, which is
+// so once their replacements are voters. Removing one of an odd number of voters gains nothing.
+func (n *Node) toleratesMoreWithoutSilent(view quorum.View) bool {
 	silent := 0
 	for _, member := range view.Voters {
-		if n.silence(member.Incarnation) > n.settings.Timing.ReplaceAfter {
+		if n.silenceOf(member.Incarnation) > n.settings.Timing.ReplaceAfter {
 			silent++
 		}
 	}
-	spare := len(view.Voters) - n.leastVoters()
+	spare := len(view.Voters) - n.minVoters()
 	if len(view.Voters)%2 == 0 {
 		return silent >= 1 && spare >= 1
 	}
 	return silent >= 2 && spare >= 2
 }
 
-func (n *Node) leastVoters() int { return 2*n.settings.Tolerance + 1 }
+func (n *Node) minVoters() int { return 2*n.settings.Tolerance + 1 }
 
-// mayVoteOut tells that the voters that live are a majority of what remains.
-func (n *Node) mayVoteOut(view quorum.View, incarnation quorum.Incarnation) bool {
-	remaining := without(view, incarnation)
-	return len(remaining.Voters) > 0 && n.live(remaining) >= remaining.Majority()
+// canVoteOut reports whether the live voters are a majority of the remaining view.
+func (n *Node) canVoteOut(view quorum.View, incarnation quorum.Incarnation) bool {
+	remaining := withoutVoter(view, incarnation)
+	return len(remaining.Voters) > 0 && n.countLive(remaining) >= remaining.Majority()
 }
 
-// live counts the voters that have been heard lately, this node included.
-func (n *Node) live(view quorum.View) int {
+// countLive counts the voters that were heard recently, this node included.
+func (n *Node) countLive(view quorum.View) int {
 	count := 0
 	for _, member := range view.Voters {
-		if n.silence(member.Incarnation) <= n.settings.Timing.CopyLostAfter {
+		if n.silenceOf(member.Incarnation) <= n.settings.Timing.CopyLostAfter {
 			count++
 		}
 	}
 	return count
 }
 
-func (n *Node) silence(incarnation quorum.Incarnation) time.Duration {
+func (n *Node) silenceOf(incarnation quorum.Incarnation) time.Duration {
 	if incarnation == n.self.Incarnation {
 		return 0
 	}
-	one := n.leadership.follower(incarnation)
-	if one == nil {
-		return n.now - n.leadership.began
+	follower := n.leadership.follower(incarnation)
+	if follower == nil {
+		return n.now - n.leadership.beganAt
 	}
-	return n.now - one.heard
+	return n.now - follower.heardAt
 }
 
-// hasSuccessorAtAddress tells that another voter, lately heard, has the same address: the old disk is gone.
+// hasSuccessorAtAddress reports whether another voter with the same address was heard recently: the old disk is lost.
 func (n *Node) hasSuccessorAtAddress(view quorum.View, member quorum.Member) bool {
 	for _, other := range view.Voters {
 		if other.Address != member.Address || other.Incarnation == member.Incarnation {
 			continue
 		}
-		if n.silence(other.Incarnation) <= n.settings.Timing.CopyLostAfter {
+		if n.silenceOf(other.Incarnation) <= n.settings.Timing.CopyLostAfter {
 			return true
 		}
 	}
@@ -222,21 +225,21 @@
 }
 
 func (n *Node) dropSilentLearners() {
-	lead := n.leadership
-	kept := lead.followers[:0:0]
-	for _, one := range lead.followers {
-		if one.learner && n.now-one.heard > learnerLostAfter && !n.isProposed(one) {
+	leadership := n.leadership
+	kept := leadership.followers[:0:0]
+	for _, follower := range leadership.followers {
+		if follower.learner && n.now-follower.heardAt > learnerLostAfter && !n.isProposed(follower) {
 			continue
 		}
-		kept = append(kept, one)
+		kept = append(kept, follower)
 	}
-	lead.followers = kept
+	leadership.followers = kept
 }
 
-func (n *Node) isProposed(one *follower) bool {
+func (n *Node) isProposed(follower *follower) bool {
 	if n.leadership.proposed == nil {
 		return false
 	}
-	_, votes := n.leadership.proposed.Voter(one.member.Incarnation)
+	_, votes := n.leadership.proposed.Voter(follower.member.Incarnation)
 	return votes
 }
--- a/control/replication/message.go
+++ b/control/replication/message.go
@@ -2,12 +2,14 @@
 
 import "eiderway/control/quorum"
 
-// Message is what controllers say to each other. Exactly one of the pointers is set.
+// Message is sent from one controller to another. Exactly one of the pointers is set.
+//
+// Messages travel as gob, which matches exported fields by name: a renamed field is lost without an error.
 type Message struct {
 	From    quorum.Member
-	To      quorum.Incarnation // "" when the sender doesn't know it
-	Epoch   quorum.Epoch       // in which the sender speaks
-	Request uint64             // names a question; an answer repeats it
+	To      quorum.Incarnation // "" if the sender doesn't know it
+	Epoch   quorum.Epoch       // epoch that the message belongs to
+	Request uint64             // identifies a question; an answer repeats it
 
 	Poll         *Poll
 	PollAnswer   *PollAnswer
@@ -22,68 +24,68 @@
 	JoinAnswer   *JoinAnswer
 	Handover     *Handover
 
-	Beats []ForwardedHeartbeat // plain heartbeats that a backup took; not of the protocol, carried beside it
+	Beats []ForwardedHeartbeat // heartbeats of instances that a backup received; not part of the protocol, only carried with it
 }
 
-// ForwardedHeartbeat tells the primary of a heartbeat that a backup took, which said nothing that isn't recorded of the instance.
+// ForwardedHeartbeat tells the primary of an instance's heartbeat that a backup received and that changes nothing recorded.
 type ForwardedHeartbeat struct {
 	InstanceID   string
 	CallSeq      uint64
-	Role         string // as the instance says it
+	Role         string // as reported by the instance
 	WarmupLeftMs int64
 }
 
-// Poll asks whether a candidacy would be welcome, before any epoch is raised.
+// Poll asks, before any epoch is raised, whether the receiver would vote for the sender (a pre-vote).
 type Poll struct {
-	View quorum.ViewID // newest that the sender knows
+	View quorum.ViewID // newest view that the sender knows
 }
 
 // PollAnswer answers a Poll.
 type PollAnswer struct {
-	Missing  bool         // the sender misses a primary too
+	Missing  bool         // the sender hears no primary either
 	MayFound bool         // the sender knows no view and may take part in founding a core
-	Promised quorum.Epoch // highest that the sender has promised
-	View     *quorum.View // newest that the sender knows, where it is newer than the asker's
+	Promised quorum.Epoch // highest epoch that the sender has promised
+	View     *quorum.View // newest view that the sender knows, if it is newer than the asker's
 }
 
-// Prepare asks for the promise of the message's epoch.
+// Prepare asks for a promise for the epoch of the message.
 type Prepare struct {
-	View     quorum.View // newest that the candidate knows; zero: it founds
-	Seeds    []string    // sorted; only with founding
-	Handover bool        // the primary itself has asked the candidate to stand
+	View     quorum.View // newest view that the candidate knows; zero when founding
+	Seeds    []string    // sorted; only when founding
+	Handover bool        // the primary itself has asked the candidate to stand for election
 }
 
-// Promise answers a Prepare: nothing of a lower epoch is taken from now on.
+// Promise answers a Prepare. Its sender accepts nothing of a lower epoch from now on.
 type Promise struct {
 	Accepted quorum.View
 	Stamp    quorum.Stamp
 }
 
-// Append is the word of a primary, or of a candidate that brings up copies. It is also the heartbeat.
+// Append brings views and changes from the primary, or from a new primary that catches up its copies. It is also the heartbeat.
 type Append struct {
-	View      *quorum.View  // to be accepted, where the receiver isn't known to have done so
-	Committed quorum.ViewID // newest view known to be committed; zero while the sender is a candidate
-	Latest    quorum.Stamp  // of the newest change that was handed out
+	View      *quorum.View  // to be accepted, if the receiver isn't known to have accepted it
+	Committed quorum.ViewID // newest committed view of the epoch; zero until there is one
+	Latest    quorum.Stamp  // stamp of the newest change, committed or not
 	Changes   []Change      // in order
 	Snapshot  *SnapshotOffer
 }
 
-// SnapshotOffer tells a member that it is too far behind for changes.
+// SnapshotOffer tells a member that it is too far behind for changes and must fetch a snapshot.
 type SnapshotOffer struct {
 	Stamp  quorum.Stamp
 	Pieces int
 }
 
-// AppendAnswer answers an Append. Synced and Accepted are safe on the sender's disk.
+// AppendAnswer answers an Append. Synced and Accepted are on the sender's disk; Received may not be yet.
 type AppendAnswer struct {
 	Received quorum.Stamp
 	Synced   quorum.Stamp
 	Accepted quorum.ViewID
-	Fetching bool // a snapshot is being fetched
+	Fetching bool // the sender is fetching a snapshot
 	Leaving  bool // the sender wants to leave
 }
 
-// Refusal tells a sender that its epoch is over, and what is newer.
+// Refusal tells a sender that its epoch is over, or that its candidacy is not supported, and what is newer.
 type Refusal struct {
 	Promised quorum.Epoch
 	View     *quorum.View
@@ -95,7 +97,7 @@
 	Index int
 }
 
-// Piece answers a Fetch. Where the snapshot asked for is gone, it is the first piece of a newer one.
+// Piece answers a Fetch. If the requested snapshot is gone, it is the first piece of a newer one.
 type Piece struct {
 	Stamp quorum.Stamp
 	Index int
@@ -103,14 +105,14 @@
 	Bytes []byte
 }
 
-// Join asks to be brought up as a member.
+// Join asks the primary to catch the sender up and make it a member.
 type Join struct{}
 
-// JoinAnswer is what a member that isn't primary answers to Join.
+// JoinAnswer answers a Join of a controller that the sender doesn't catch up: it isn't the primary, or the core is full.
 type JoinAnswer struct {
-	View    *quorum.View // newest known; nil: none
+	View    *quorum.View // newest view known; nil: none
 	Primary *quorum.Member
-	Full    bool // the primary says that the core has as many members as it wants: ask again later, another may be lost
+	Full    bool // the primary has enough members; ask again later, since one may be lost
 }
 
 // Handover asks a copy that is up to date to stand for election at once.
--- a/control/replication/node.go
+++ b/control/replication/node.go
@@ -7,12 +7,12 @@
 	"eiderway/control/quorum"
 )
 
-// frozenAfter: the host steps a node every few tens of milliseconds; after a longer gap the process itself stood still,
-// and the silence that it seems to have observed says nothing about the others.
+// frozenAfter is the gap between two steps after which the process itself is taken to have been frozen: the host steps a
+// node every few tens of milliseconds. Silence during a freeze says nothing about the other members.
 const frozenAfter = 500 * time.Millisecond
 
 // Node decides what one controller does about the control state. It is a pure state machine: everything that happens
-// comes in through Step, and everything that it wants done goes out as Effects.
+// comes in through Step, and everything that the host must do is returned as Effects.
 type Node struct {
 	settings Settings
 	self     quorum.Member
@@ -22,52 +22,52 @@
 	effects  Effects
 	guards   disabledGuards
 
-	record  quorum.VoterRecord // as last written or about to be
+	record  quorum.VoterRecord // as in the last write
 	history history
 	disk    disk
 
-	known       quorum.View   // newest view heard of, from wherever
-	highest     quorum.Epoch  // heard of, from wherever
-	leader      leaderSeen    // whom this node follows
-	silentSince time.Duration // the primary has been missed, or an own candidacy failed, since then
+	known       quorum.View    // newest view heard of from any source
+	highest     quorum.Epoch   // highest epoch heard of from any source
+	leader      followedLeader // primary or candidate that this node follows
+	silentSince time.Duration  // when the primary was last heard, or shifted to time the next candidacy
 
 	lastRequest uint64
 	random      uint64
 	candidacy   *candidacy
 	leadership  *leadership
-	fetch       *fetch
-	serving     []*serving // oldest first
-	owed        *owedAnswer
+	fetch       *snapshotFetch
+	snapshots   []*servedSnapshot // oldest first
+	deferred    *deferredAnswer
 	joining     joining
 	leaving     leaving
 	dropped     uint64
 }
 
-// disabledGuards switches single guards off. Only tests set it, to see that the search finds what the guard prevents.
+// disabledGuards switches off single safety rules. Only tests set it, to check that they find what the rule prevents.
 type disabledGuards struct {
-	promiseBeforeSync bool // a promise is spoken before it is on disk
-	lowerEpochTaken   bool // a backup takes changes of an epoch below the one it has promised
-	oneCopyMayLag     bool // a change is committed though a copy has not synced it
-	noFloor           bool // fewer copies than tolerance + 1 are enough
-	confirmAlone      bool // the primaryship is confirmed without others
-	manyViewChanges   bool // a view change begins before the last is committed
-	emptyDiskVotes    bool // a node that never had a view votes
-	anyVoterLeads     bool // a candidate's own state serves, though it is no copy of the newest accepted view
-	foundingRepeats   bool // an empty disk is enough to take part in founding
-	viewBeforeRestamp bool // the first view of an epoch is proposed before the state is synced
+	promiseBeforeSync      bool // a promise is sent before it is on disk
+	lowerEpochAccepted     bool // a backup accepts changes of an epoch below the one it has promised
+	oneCopyMayLag          bool // a change is committed although one copy has not synced it
+	noMinCopies            bool // fewer copies than tolerance + 1 are enough
+	confirmWithoutMajority bool // the primacy is confirmed without answers of others
+	concurrentViewChanges  bool // a view change begins before the previous one is committed
+	emptyDiskVotes         bool // a node that never accepted a view votes
+	anyVoterTakesOver      bool // a candidate takes over with its own state without being a copy of the newest accepted view
+	foundingRepeatable     bool // an empty disk is enough to take part in founding
+	viewBeforeRestamp      bool // the first view of an epoch is proposed before the state is synced
 }
 
-// leaderSeen is the primary, or candidate with a majority's promises, that a node follows.
-type leaderSeen struct {
+// followedLeader is the primary or candidate to which a node has given its newest promise, or whose messages it accepts.
+type followedLeader struct {
 	member    quorum.Member
 	epoch     quorum.Epoch
-	heard     time.Duration
-	committed quorum.ViewID // newest that it says is committed; zero while it is a candidate
-	round     uint64        // of its last word
+	heardAt   time.Duration
+	committed quorum.ViewID // newest committed view that it has announced; zero while it is a candidate
+	round     uint64        // newest round heard
 	known     bool
 }
 
-// NewNode returns a node that has what was on its disk.
+// NewNode returns a node that starts from the state on its disk.
 func NewNode(now time.Duration, settings Settings, durable DurableState) *Node {
 	node := &Node{
 		settings: settings,
@@ -84,10 +84,10 @@
 		node.self.Incarnation = durable.Incarnation
 	}
 	node.disk = newDisk(durable)
-	node.lastRequest = node.chance() >> 1
+	node.lastRequest = node.nextRandom() >> 1
 	node.silentSince = now - settings.Timing.ElectionAfter/2
 	if node.record.Accepted.Primary == node.self.Incarnation {
-		node.silentSince = now - settings.Timing.ElectionAfter // the others know that it doesn't lead any more
+		node.silentSince = now - settings.Timing.ElectionAfter // it was the primary itself, and the others miss it already
 	}
 	return node
 }
@@ -99,12 +99,12 @@
 	return a
 }
 
-// Step takes in one thing that happened and returns what is to be done about it.
+// Step processes one input and returns what the host must do.
 func (n *Node) Step(now time.Duration, input Input) Effects {
 	n.now = now
 	n.effects = Effects{}
 	if now-n.lastStep > frozenAfter {
-		n.wake()
+		n.resumeAfterFreeze()
 	}
 	n.lastStep = now
 	if !n.started {
@@ -116,9 +116,9 @@
 	case Received:
 		n.receive(input.Message)
 	case Persisted:
-		n.persisted(input.Write)
+		n.onPersisted(input.Write)
 	case DiskFailed:
-		n.diskFailed(input.Write)
+		n.onDiskFailed(input.Write)
 	case Propose:
 		n.propose(input)
 	case Confirm:
@@ -128,7 +128,7 @@
 	case SeedsChanged:
 		n.settings.Seeds = input.Seeds
 	case RestoredStateMarked:
-		n.noteAgreed()
+		n.clearRestored()
 	}
 	n.progress()
 	return n.effects
@@ -137,7 +137,7 @@
 // start records, before anything else, whether this process may take part in founding a core.
 func (n *Node) start() {
 	n.started = true
-	first := n.settings.FirstStart || n.guards.foundingRepeats
+	first := n.settings.FirstStart || n.guards.foundingRepeatable
 	if !first || n.record.Promised != 0 || n.record.Accepted.ID != (quorum.ViewID{}) || n.history.stamp != (quorum.Stamp{}) {
 		return
 	}
@@ -148,15 +148,15 @@
 	n.writeRecord()
 }
 
-// wake forgets the silence of the time in which the process itself stood still.
-func (n *Node) wake() {
+// resumeAfterFreeze discards the silence observed while the process itself was frozen.
+func (n *Node) resumeAfterFreeze() {
 	n.silentSince = n.now
 	if n.leader.known {
-		n.leader.heard = n.now
+		n.leader.heardAt = n.now
 	}
 	if n.leadership != nil {
-		n.leadership.forgetSilence(n.now)
-		n.leadership.askAgain()
+		n.leadership.resetSilence(n.now)
+		n.leadership.requireNewAnswers()
 	}
 	if n.candidacy != nil {
 		n.abandonCandidacy(n.now)
@@ -165,7 +165,7 @@
 
 func (n *Node) tick() {
 	n.retryDisk()
-	n.payOwedAnswer()
+	n.sendOverdueAnswer()
 	n.tickFetch()
 	n.dropIdleSnapshots()
 	if n.leadership != nil {
@@ -177,7 +177,7 @@
 	n.tickLeaving()
 }
 
-// progress does what has become possible by the input.
+// progress takes the steps that the input has made possible.
 func (n *Node) progress() {
 	if n.candidacy != nil {
 		n.evaluateCandidacy()
@@ -226,7 +226,7 @@
 	}
 }
 
-// Role of the node. Primary is no proof that it still leads: see Confirm.
+// Role returns the role of the node. Primary is no proof that it still leads; see Confirm.
 func (n *Node) Role() Role {
 	if n.leads() {
 		return Primary
@@ -234,34 +234,34 @@
 	if _, votes := n.known.Voter(n.self.Incarnation); votes {
 		return Backup
 	}
-	return Outsider
+	return NonMember
 }
 
-// View is the newest view known here.
+// View returns the newest view that this node knows.
 func (n *Node) View() quorum.View { return n.known }
 
-// PrimaryMember is where callers are sent. It is unknown while the primary is missed.
+// PrimaryMember returns the primary that callers are sent to. It is unknown while the primary is silent.
 func (n *Node) PrimaryMember() (quorum.Member, bool) {
 	if n.leads() {
 		return n.self, true
 	}
-	fresh := n.leader.known && n.now-n.leader.heard <= n.settings.Timing.ElectionAfter
+	fresh := n.leader.known && n.now-n.leader.heardAt <= n.settings.Timing.ElectionAfter
 	if fresh && n.leader.committed != (quorum.ViewID{}) {
 		return n.leader.member, true
 	}
-	if n.Role() != Outsider {
+	if n.Role() != NonMember {
 		return quorum.Member{}, false
 	}
-	if n.joining.standby {
+	if n.joining.coreFull {
 		return n.joining.primary, true
 	}
 	if n.leader.known && n.leader.epoch >= n.known.ID.Epoch {
-		return quorum.Member{}, false // the one that was followed is missed, and nobody later is known
+		return quorum.Member{}, false // the followed primary is silent, and no later one is known
 	}
 	return n.known.Voter(n.known.Primary)
 }
 
-// FollowedPrimary gives the primary that this node follows as a copy of its view, if it was heard lately.
+// FollowedPrimary returns the primary that this node follows as a copy of its view, if it was heard recently.
 func (n *Node) FollowedPrimary() (quorum.Member, bool) {
 	if n.leadership != nil || !n.known.HasCopy(n.self.Incarnation) {
 		return quorum.Member{}, false
@@ -269,7 +269,7 @@
 	return n.PrimaryMember()
 }
 
-// LiveCopies are the copies of the view that this node leads, itself included, that were heard lately.
+// LiveCopies returns the copies of the view that this node leads, itself included, that were heard recently.
 func (n *Node) LiveCopies() []quorum.Member {
 	if !n.leads() {
 		return nil
@@ -277,18 +277,18 @@
 	var live []quorum.Member
 	view := n.leadership.committed
 	for _, member := range view.Voters {
-		if view.HasCopy(member.Incarnation) && n.silence(member.Incarnation) <= 3*n.settings.Timing.Heartbeat {
+		if view.HasCopy(member.Incarnation) && n.silenceOf(member.Incarnation) <= 3*n.settings.Timing.Heartbeat {
 			live = append(live, member)
 		}
 	}
 	return live
 }
 
-// LeadsRestoredState tells whether this node leads with a state that was brought back from a dump: what was acknowledged since the dump was
-// made isn't in it.
+// LeadsRestoredState reports whether this node leads with a state restored from a dump. What was acknowledged after the
+// dump is missing from it.
 func (n *Node) LeadsRestoredState() bool { return n.leads() && n.record.Restored }
 
-// Epoch of the view that this node leads; zero if it doesn't lead.
+// Epoch returns the epoch of the view that this node leads, or zero if it doesn't lead.
 func (n *Node) Epoch() quorum.Epoch {
 	if !n.leads() {
 		return 0
@@ -296,7 +296,7 @@
 	return n.leadership.epoch
 }
 
-// Stamp of the last change that was committed or, at a backup, synced.
+// Stamp returns the stamp of the last change that was committed or, on a backup, synced.
 func (n *Node) Stamp() quorum.Stamp {
 	if n.leads() {
 		return n.history.stamp
@@ -304,28 +304,28 @@
 	return n.disk.stamp
 }
 
-// MayPropose tells whether a change would be taken now.
+// MayPropose reports whether a change would be accepted now.
 func (n *Node) MayPropose() bool {
-	return n.leads() && n.leadership.pending == nil && !n.leaving.asked && !n.disk.bad
+	return n.leads() && n.leadership.pending == nil && !n.leaving.requested && !n.disk.failed
 }
 
-// Entry of the committed state.
+// Entry returns one entry of the committed state.
 func (n *Node) Entry(key string) ([]byte, bool) {
 	value, found := n.history.entries[key]
 	return value, found
 }
 
-// Entries of the committed state whose keys begin with the prefix, sorted by key.
+// Entries returns the entries of the committed state whose keys begin with the prefix, sorted by key.
 func (n *Node) Entries(prefix string) []Mutation { return n.history.list(prefix) }
 
-// Dropped counts messages that were thrown away as foreign, old, or answers to nothing that was asked.
-func (n *Node) Dropped() uint64 { return n.dropped }
+// DroppedMessages counts messages that were ignored as foreign, outdated or unsolicited.
+func (n *Node) DroppedMessages() uint64 { return n.dropped }
 
 func (n *Node) leads() bool { return n.leadership != nil && n.leadership.phase == leading }
 
 func (n *Node) drop() { n.dropped++ }
 
-func (n *Node) event(what, text string) {
+func (n *Node) logEvent(what, text string) {
 	n.effects.Events = append(n.effects.Events, Event{What: what, Text: text})
 }
 
@@ -333,43 +333,44 @@
 	n.effects.Decisions = append(n.effects.Decisions, Decision{Request: request, Outcome: outcome})
 }
 
-// sendTo hands out a message to a member, to leave once the write is safe on disk.
+// sendTo sends a message to a member once the write after (0: none) is synced to disk.
 func (n *Node) sendTo(member quorum.Member, after uint64, message Message) {
 	message.From = n.self
 	message.To = member.Incarnation
 	n.effects.Send = append(n.effects.Send, Envelope{To: member.Address, After: after, Message: message})
 }
 
-// answer sends a message back to the sender of another.
-func (n *Node) answer(question Message, after uint64, message Message) {
+// reply answers a message, with the same epoch and request.
+func (n *Node) reply(question Message, after uint64, message Message) {
 	message.Epoch = question.Epoch
 	message.Request = question.Request
 	n.sendTo(question.From, after, message)
 }
 
-// nextRequest names a question. The names of a later life of the process differ, since they start at random.
+// nextRequest returns the identifier of a new question. Identifiers start at a random number, so that those of a restarted
+// process differ.
 func (n *Node) nextRequest() uint64 {
 	n.lastRequest++
 	return n.lastRequest
 }
 
-// chance is a step of xorshift64.
-func (n *Node) chance() uint64 {
+// nextRandom advances the xorshift64 generator.
+func (n *Node) nextRandom() uint64 {
 	n.random ^= n.random << 13
 	n.random ^= n.random >> 7
 	n.random ^= n.random << 17
 	return n.random
 }
 
-// jitter is a time below the limit.
+// jitter returns a random duration below the limit.
 func (n *Node) jitter(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(n.chance() % uint64(limit))
+	return time.Duration(n.nextRandom() % uint64(limit))
 }
 
-// learnView remembers a view that is newer than the newest known.
+// learnView keeps a view if it is newer than the newest known.
 func (n *Node) learnView(view quorum.View) {
 	if n.known.ID.Less(view.ID) {
 		n.known = view
@@ -383,7 +384,7 @@
 	}
 }
 
-// newerView is the newest view known, if it is newer than the other's.
+// newerView returns the newest view known if it is newer than the given one, else nil.
 func (n *Node) newerView(than quorum.ViewID) *quorum.View {
 	if !than.Less(n.known.ID) {
 		return nil
--- a/control/replication/primary.go
+++ b/control/replication/primary.go
@@ -7,29 +7,29 @@
 	"eiderway/control/quorum"
 )
 
-// raiseEpochAfter limits how often a primary stands again because a newcomer has promised a higher epoch.
+// raiseEpochAfter limits how often a primary steps down, to stand again, because a learner has promised a higher epoch.
 const raiseEpochAfter = 3 * time.Second
 
-// takeOver begins the epoch: the state is restamped and brought to the others.
+// takeOver begins the epoch: the state is restamped and sent to the voters of the view taken over.
 func (n *Node) takeOver(base quorum.View) {
-	stand := n.candidacy
+	candidacy := n.candidacy
 	n.candidacy = nil
 	n.fetch = nil
-	n.owed = nil
-	lead := &leadership{epoch: stand.epoch, base: base, began: n.now}
+	n.deferred = nil
+	leadership := &leadership{epoch: candidacy.epoch, base: base, beganAt: n.now}
 	for _, member := range n.otherVoters(base) {
-		one := &follower{member: member, heard: n.now}
-		for _, promise := range stand.promises {
+		follower := &follower{member: member, heardAt: n.now}
+		for _, promise := range candidacy.promises {
 			if promise.member.Incarnation == member.Incarnation {
-				one.received = promise.stamp
+				follower.received = promise.stamp
 			}
 		}
-		lead.addFollower(one)
+		leadership.addFollower(follower)
 	}
-	n.leadership = lead
-	n.leader = leaderSeen{}
+	n.leadership = leadership
+	n.leader = followedLeader{}
 	restamp := Change{
-		Stamp:    quorum.Stamp{Epoch: lead.epoch, Sequence: n.history.stamp.Sequence},
+		Stamp:    quorum.Stamp{Epoch: leadership.epoch, Sequence: n.history.stamp.Sequence},
 		Previous: n.history.stamp,
 	}
 	n.history.apply(restamp)
@@ -37,20 +37,20 @@
 	n.broadcast()
 }
 
-// stepDown ends the leadership. A change under way is in the state from now on, as it may be on every disk; whether it
-// lasts is for the next primary to find.
+// stepDown ends the leadership. A pending change becomes part of the local state, since it may be on every disk; whether it
+// survives is decided by the next primary.
 func (n *Node) stepDown(reason string) {
-	lead := n.leadership
+	leadership := n.leadership
 	n.leadership = nil
 	n.silentSince = n.now
-	if lead.pending != nil {
-		n.history.apply(lead.pending.change)
-		n.decide(lead.pending.request, Unknown)
+	if leadership.pending != nil {
+		n.history.apply(leadership.pending.change)
+		n.decide(leadership.pending.request, Unknown)
 	}
-	for _, waiting := range lead.confirms {
+	for _, waiting := range leadership.confirms {
 		n.decide(waiting.request, NotPrimary)
 	}
-	n.event("stepped down", fmt.Sprintf("epoch %d: %s", lead.epoch, reason))
+	n.logEvent("stepped down", fmt.Sprintf("epoch %d: %s", leadership.epoch, reason))
 }
 
 func (n *Node) propose(input Propose) {
@@ -58,123 +58,123 @@
 		n.decide(input.Request, NotPrimary)
 		return
 	}
-	lead := n.leadership
+	leadership := n.leadership
 	change := Change{
-		Stamp:     quorum.Stamp{Epoch: lead.epoch, Sequence: n.history.stamp.Sequence + 1},
+		Stamp:     quorum.Stamp{Epoch: leadership.epoch, Sequence: n.history.stamp.Sequence + 1},
 		Previous:  n.history.stamp,
 		Mutations: input.Mutations,
 	}
-	lead.pending = &pendingChange{request: input.Request, change: change, round: lead.round + 1}
+	leadership.pending = &pendingChange{request: input.Request, change: change, round: leadership.round + 1}
 	n.writeState(change.Mutations)
 	n.broadcast()
 }
 
 func (n *Node) onAppendAnswer(message Message) {
-	lead := n.leadership
-	if lead == nil || !lead.asked(message) {
+	leadership := n.leadership
+	if leadership == nil || !leadership.asked(message) {
 		n.drop()
 		return
 	}
-	one := lead.follower(message.From.Incarnation)
+	follower := leadership.follower(message.From.Incarnation)
 	answer := message.AppendAnswer
-	one.heard = n.now
-	one.answered = true
-	one.leaving = answer.Leaving
-	if message.Request >= one.heardRound {
-		one.heardRound = message.Request
-		one.received = answer.Received
+	follower.heardAt = n.now
+	follower.answered = true
+	follower.leaving = answer.Leaving
+	if message.Request >= follower.heardRound {
+		follower.heardRound = message.Request
+		follower.received = answer.Received
 	}
-	if one.synced.Less(answer.Synced) {
-		one.synced = answer.Synced
+	if follower.synced.Less(answer.Synced) {
+		follower.synced = answer.Synced
 	}
-	if one.accepted.Less(answer.Accepted) {
-		one.accepted = answer.Accepted
+	if follower.accepted.Less(answer.Accepted) {
+		follower.accepted = answer.Accepted
 	}
-	if !one.synced.Less(n.latest()) {
-		one.behind = false
+	if !follower.synced.Less(n.latestStamp()) {
+		follower.behind = false
 	}
 	n.progressLeadership()
-	if n.leadership == lead && one.received != n.latest() && !answer.Fetching {
-		n.bringOn(one)
+	if n.leadership == leadership && follower.received != n.latestStamp() && !answer.Fetching {
+		n.sendMissingChanges(follower)
 	}
 }
 
-// primaryRefused: a member has promised a higher epoch.
-func (n *Node) primaryRefused(message Message) {
-	lead := n.leadership
+// onPrimaryRefusal steps down if a member has promised a higher epoch.
+func (n *Node) onPrimaryRefusal(message Message) {
+	leadership := n.leadership
 	refusal := message.Refusal
 	n.learnEpoch(refusal.Promised)
-	if refusal.Promised <= lead.epoch {
+	if refusal.Promised <= leadership.epoch {
 		return
 	}
-	one := lead.follower(message.From.Incarnation)
-	if one.learner && n.now-lead.began < raiseEpochAfter {
+	follower := leadership.follower(message.From.Incarnation)
+	if follower.learner && n.now-leadership.beganAt < raiseEpochAfter {
 		return
 	}
 	if refusal.View != nil {
 		n.learnView(*refusal.View)
 	}
 	n.stepDown(fmt.Sprintf("%s has promised epoch %d", message.From.Name, refusal.Promised))
-	n.silentSince = n.retrySoon()
+	n.silentSince = n.silenceStartForRetry()
 }
 
 func (n *Node) tickLeadership() {
-	lead := n.leadership
-	if n.diskHangs() {
-		n.handOverAtOnce()
-		n.stepDown("its own disk doesn't finish a write")
+	leadership := n.leadership
+	if n.isDiskHanging() {
+		n.handOverIfLeading()
+		n.stepDown("its own disk has not completed a write in time")
 		return
 	}
 	if !n.hearsMajority() {
-		n.stepDown("a majority is silent")
+		n.stepDown("no answers from a majority")
 		return
 	}
-	n.noteBehind()
+	n.updateBehind()
 	n.tickConfirms()
-	if lead.phase == leading {
+	if leadership.phase == leading {
 		n.changeView()
 	}
-	if n.now-lead.roundAt >= n.settings.Timing.Heartbeat {
+	if n.now-leadership.roundAt >= n.settings.Timing.Heartbeat {
 		n.dropSilentLearners()
 		n.broadcast()
 	}
 }
 
-// contactLostAfter: a primary that hears no majority for this long ends its term; the others miss it by then.
+// contactLostAfter is how long a primary may hear no majority before it steps down; the others miss it by then.
 func (n *Node) contactLostAfter() time.Duration {
 	return n.settings.Timing.ElectionAfter + 2*n.settings.Timing.Heartbeat
 }
 
 func (n *Node) hearsMajority() bool {
 	limit := n.contactLostAfter()
-	return n.majorityOfViews(func(incarnation quorum.Incarnation) bool {
-		one := n.leadership.follower(incarnation)
-		return one != nil && n.now-one.heard <= limit
+	return n.hasMajorityOfViews(func(incarnation quorum.Incarnation) bool {
+		follower := n.leadership.follower(incarnation)
+		return follower != nil && n.now-follower.heardAt <= limit
 	})
 }
 
-// progressLeadership does what answers and syncs have made possible.
+// progressLeadership takes the steps that answers and syncs have made possible.
 func (n *Node) progressLeadership() {
 	switch n.leadership.phase {
-	case bringingUp:
+	case catchingUp:
 		n.proposeFirstView()
 	case installing:
 		n.commitView()
 	case leading:
 		n.commitView()
 		n.commitChange()
-		n.settleConfirms()
+		n.answerConfirms()
 	}
 }
 
-// noteBehind measures since when members lack the newest change.
-func (n *Node) noteBehind() {
-	latest := n.latest()
-	for _, one := range n.leadership.followers {
-		behind := one.synced.Less(latest)
-		if behind && !one.behind {
-			one.behindSince = n.now
+// updateBehind records since when members have lacked the newest change.
+func (n *Node) updateBehind() {
+	latest := n.latestStamp()
+	for _, follower := range n.leadership.followers {
+		behind := follower.synced.Less(latest)
+		if behind && !follower.behind {
+			follower.behindSince = n.now
 		}
-		one.behind = behind
+		follower.behind = behind
 	}
 }
--- a/control/replication/scenario_test.go
+++ b/control/replication/scenario_test.go
@@ -10,244 +10,248 @@
 	"eiderway/testing/scenario"
 )
 
-// A scenario is a text file: one command a line, # begins a remark. The first command is
+// A scenario is a text file with one command per line; # begins a comment. The first command is
 //
 //	nodes COUNT seeds COUNT tolerance COUNT
 //
-// Nodes are called a, b, c and so on; the first ones are the seeds. Times are like 300ms or 2s.
+// Nodes are called a, b, c and so on; the first ones are the seeds. Times are written as 300ms or 2s. In place of NODE, most
+// commands also take the word primary.
 //
-//	run TIME                      let time pass
-//	await NODE EVENT [TIME]       until the node tells this event (10s at the most)
-//	cut A>B | cut A-B             one way, both ways
-//	join A>B | join A-B           again
-//	isolate NODE...               these from all others
-//	heal                          all trouble ends, and what ended starts again
-//	links                         all links are whole again
+//	run TIME                      advance the time
+//	await NODE EVENT [TIME]       until the node logs this event, for 10s at most
+//	cut A>B | cut A-B             cut the link one way, or both ways
+//	join A>B | join A-B           restore it
+//	isolate NODE...               cut these nodes off from all others
+//	heal                          end all faults and start all stopped nodes
+//	links                         restore all links
 //	freeze NODE, thaw NODE
-//	kill NODE                     the process ends
-//	power NODE                    and what was not synced is gone
-//	wipe NODE                     and the disk
+//	kill NODE                     end the process
+//	power NODE                    the same, and lose what was not synced
+//	wipe NODE                     the same, and lose the disk
 //	start NODE
-//	gone NODE                     loses power and never comes back
-//	seeds NODE...                 that the settings name from now on
+//	gone NODE                     lose power and never come back
+//	seeds NODE... | standbys      replace the seeds by these nodes, or by three nodes without a vote
 //	add NODE                      a new machine with an empty disk
-//	leave NODE                    SIGTERM; it stays away
-//	disk NODE TIME                a sync takes this long
-//	stall NODE TIME               nothing is synced for this long
-//	refuse NODE, accept NODE      the disk refuses writes; takes them again
-//	network LOSS DOUBLED LATE     shares of messages that are lost, come twice, come up to three seconds late
+//	leave NODE                    leave as on SIGTERM, and stay away
+//	disk NODE TIME                make each sync take this long
+//	stall NODE TIME               sync nothing for this long
+//	refuse NODE, accept NODE      let the disk fail writes, or accept them again
+//	network LOSS DOUBLED LATE     shares of messages that are lost, duplicated, or delayed by up to three seconds
+//	everyone COMMAND              execute the command on all nodes that are not gone
 //	client on|off
 //	value BYTES                   size of an order
 //	expect primary NODE | none
 //	expect voters NODE... | copies NODE...   of the newest view that the primary has committed
+//	expect voter-count COUNT
+//	expect all-know-primary       all running nodes send callers to the primary
 //	expect orders COUNT within TIME
 //	expect events NODE EVENT COUNT
 //	expect ended NODE
-//	check                         all acknowledged orders are at the primary
-//	settle                        trouble ends; within five seconds orders are acknowledged and none is lost
-type player struct{ world *world }
+//	check                         check that the primary has all acknowledged orders
+//	settle                        heal; within five seconds orders must be acknowledged, and none may be lost
+type scenarioPlayer struct{ world *world }
 
 func playScenario(path string, seed int64, guards disabledGuards, trace func(string)) error {
 	lines, err := scenario.Read(path)
 	if err != nil {
 		return err
 	}
-	playing := &player{}
+	player := &scenarioPlayer{}
 	for _, line := range lines {
 		if line.Words[0] == "nodes" {
-			playing.begin(line.Words, seed, guards, trace)
+			player.begin(line.Words, seed, guards, trace)
 			continue
 		}
 		if trace != nil {
-			trace(fmt.Sprintf("%8s --- %s", playing.world.now.Round(time.Millisecond), line.Text))
+			trace(fmt.Sprintf("%8s --- %s", player.world.now.Round(time.Millisecond), line.Text))
 		}
-		if err := playing.do(line.Words); err != nil {
+		if err := player.do(line.Words); err != nil {
 			return fmt.Errorf("%s: %w", line.Place, err)
 		}
-		if playing.world.judge.broken != "" {
-			return fmt.Errorf("%s: %s", line.Place, playing.world.judge.broken)
+		if player.world.checker.violation != "" {
+			return fmt.Errorf("%s: %s", line.Place, player.world.checker.violation)
 		}
 	}
 	return nil
 }
 
-func (s *player) begin(words []string, seed int64, guards disabledGuards, trace func(string)) {
-	s.world = newWorld(seed, scenario.Number(words[1]), scenario.Number(words[3]), scenario.Number(words[5]), guards)
-	s.world.sameWord = guards.emptyDiskVotes
-	s.world.trace = trace
+func (p *scenarioPlayer) begin(words []string, seed int64, guards disabledGuards, trace func(string)) {
+	p.world = newWorld(seed, scenario.Number(words[1]), scenario.Number(words[3]), scenario.Number(words[5]), guards)
+	p.world.keepsIncarnation = guards.emptyDiskVotes
+	p.world.trace = trace
 }
 
-func (s *player) do(words []string) error {
-	w := s.world
+func (p *scenarioPlayer) do(words []string) error {
+	w := p.world
 	switch words[0] {
 	case "run":
 		w.run(scenario.Span(words[1]))
 	case "await":
-		return s.await(words[1], strings.Join(words[2:], " "))
+		return p.await(words[1], strings.Join(words[2:], " "))
 	case "cut", "join":
-		w.cut.Set(words[1], words[0] == "cut")
+		w.cutLinks.Set(words[1], words[0] == "cut")
 	case "isolate":
-		w.cut.Isolate(words[1:], w.names())
+		w.cutLinks.Isolate(words[1:], w.names())
 	case "links":
-		clear(w.cut)
+		clear(w.cutLinks)
 	case "heal":
 		w.heal()
 	case "client":
-		w.client = words[1] == "on"
+		w.clientActive = words[1] == "on"
 	case "network":
-		w.loss, w.doubled, w.late = scenario.Share(words[1]), scenario.Share(words[2]), scenario.Share(words[3])
+		w.loss, w.duplicated, w.delayed = scenario.Share(words[1]), scenario.Share(words[2]), scenario.Share(words[3])
 	case "value":
 		w.orderBytes = scenario.Number(words[1])
 	case "seeds":
-		s.changeSeeds(words[1:])
+		p.changeSeeds(words[1:])
 	case "add":
 		w.start(w.addMachine(words[1], false))
 	case "everyone":
-		return s.everyone(words[1])
+		return p.everyone(words[1])
 	case "expect":
-		return s.expect(words[1:])
+		return p.expect(words[1:])
 	case "check":
 		w.check()
 	case "settle":
 		w.settle(5 * time.Second)
 	default:
-		return s.trouble(words)
+		return p.injectFault(words)
 	}
 	return nil
 }
 
-// everyone does the same to all machines that aren't gone.
-func (s *player) everyone(word string) error {
-	for _, one := range s.world.machines {
-		if one.gone {
+// everyone executes the command on all machines that are not gone.
+func (p *scenarioPlayer) everyone(word string) error {
+	for _, machine := range p.world.machines {
+		if machine.isGone {
 			continue
 		}
-		if err := s.trouble([]string{word, one.name}); err != nil {
+		if err := p.injectFault([]string{word, machine.name}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// named is a machine by its name, or the primary.
-func (s *player) named(name string) *machine {
+// machineOrPrimary returns a machine by its name, or the primary.
+func (p *scenarioPlayer) machineOrPrimary(name string) *machine {
 	if name == "primary" {
-		return s.world.primary()
+		return p.world.primary()
 	}
-	return s.world.machine(name)
+	return p.world.machine(name)
 }
 
-func (s *player) trouble(words []string) error {
-	w := s.world
-	one := s.named(words[1])
+func (p *scenarioPlayer) injectFault(words []string) error {
+	w := p.world
+	machine := p.machineOrPrimary(words[1])
 	switch words[0] {
 	case "freeze":
-		w.freeze(one)
+		w.freeze(machine)
 	case "thaw":
-		w.thaw(one)
+		w.thaw(machine)
 	case "kill":
-		w.kill(one)
+		w.kill(machine)
 	case "power":
-		w.powerLoss(one)
+		w.powerLoss(machine)
 	case "wipe":
-		w.wipe(one)
+		w.wipe(machine)
 	case "start":
-		one.gone = false
-		w.start(one)
+		machine.isGone = false
+		w.start(machine)
 	case "gone":
-		w.powerLoss(one)
-		one.gone = true
+		w.powerLoss(machine)
+		machine.isGone = true
 	case "leave":
-		w.leave(one, false)
+		w.leave(machine, false)
 	case "disk":
-		one.disk.delay = scenario.Span(words[2])
+		machine.disk.delay = scenario.Span(words[2])
 	case "stall":
-		one.disk.busyUntil = w.now + scenario.Span(words[2])
+		machine.disk.busyUntil = w.now + scenario.Span(words[2])
 	case "refuse":
-		one.disk.refuses = true
+		machine.disk.refuses = true
 	case "accept":
-		one.disk.refuses = false
+		machine.disk.refuses = false
 	default:
 		return fmt.Errorf("unknown command %q", words[0])
 	}
 	return nil
 }
 
-func (s *player) changeSeeds(names []string) {
-	w := s.world
+func (p *scenarioPlayer) changeSeeds(names []string) {
+	w := p.world
 	if names[0] == "standbys" {
-		names = s.standbys()
+		names = p.standbys()
 	}
 	w.seeds = nil
 	for _, name := range names {
 		w.seeds = append(w.seeds, name+":1")
 	}
-	for _, one := range w.machines {
-		if one.node != nil {
-			w.give(one, SeedsChanged{Seeds: w.seeds})
+	for _, machine := range w.machines {
+		if machine.node != nil {
+			w.deliverInput(machine, SeedsChanged{Seeds: w.seeds})
 		}
 	}
 }
 
-// standbys are three controllers without a vote.
-func (s *player) standbys() []string {
+// standbys returns the names of three controllers without a vote.
+func (p *scenarioPlayer) standbys() []string {
 	var names []string
-	view := s.world.primary().node.leadership.committed
-	for _, one := range s.world.machines {
-		if _, votes := view.Voter(one.node.self.Incarnation); !votes && len(names) < 3 {
-			names = append(names, one.name)
+	view := p.world.primary().node.leadership.committed
+	for _, machine := range p.world.machines {
+		if _, votes := view.Voter(machine.node.self.Incarnation); !votes && len(names) < 3 {
+			names = append(names, machine.name)
 		}
 	}
 	return names
 }
 
-func (s *player) await(name, event string) error {
-	one := s.world.machine(name)
-	before := len(one.events)
-	for end := s.world.now + 10*time.Second; s.world.now < end; {
-		s.world.run(time.Millisecond / 2)
-		for _, told := range one.events[before:] {
-			if strings.HasPrefix(told.What+" "+told.Text, event) {
+func (p *scenarioPlayer) await(name, event string) error {
+	machine := p.world.machine(name)
+	before := len(machine.events)
+	for end := p.world.now + 10*time.Second; p.world.now < end; {
+		p.world.run(time.Millisecond / 2)
+		for _, logged := range machine.events[before:] {
+			if strings.HasPrefix(logged.What+" "+logged.Text, event) {
 				return nil
 			}
 		}
-		if s.world.judge.broken != "" {
+		if p.world.checker.violation != "" {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s never told %q: %s", name, event, s.world.describe())
+	return fmt.Errorf("%s never logged %q: %s", name, event, p.world.describe())
 }
 
-func (s *player) expect(words []string) error {
-	w := s.world
+func (p *scenarioPlayer) expect(words []string) error {
+	w := p.world
 	switch words[0] {
 	case "primary":
-		return s.expectPrimary(words[1])
+		return p.expectPrimary(words[1])
 	case "voters", "copies":
-		return s.expectView(words[0], words[1:])
+		return p.expectView(words[0], words[1:])
 	case "voter-count":
-		return s.expectVoterCount(scenario.Number(words[1]))
+		return p.expectVoterCount(scenario.Number(words[1]))
 	case "all-know-primary":
-		return s.expectAllKnowPrimary()
+		return p.expectAllKnowPrimary()
 	case "orders":
-		before := w.judge.done
+		before := w.checker.ordersDone
 		w.run(scenario.Span(words[3]))
-		if got := w.judge.done - before; got < scenario.Number(words[1]) {
+		if got := w.checker.ordersDone - before; got < scenario.Number(words[1]) {
 			return fmt.Errorf("%d orders acknowledged: %s", got, w.describe())
 		}
 	case "events":
 		count := 0
-		for _, told := range w.machine(words[1]).events {
-			if told.What == strings.Join(words[2:len(words)-1], " ") {
+		for _, event := range w.machine(words[1]).events {
+			if event.What == strings.Join(words[2:len(words)-1], " ") {
 				count++
 			}
 		}
 		if count != scenario.Number(words[len(words)-1]) {
-			return fmt.Errorf("%d events", count)
+			return fmt.Errorf("%d such events", count)
 		}
 	case "ended":
 		if w.machine(words[1]).node != nil {
-			return fmt.Errorf("%s runs: %s", words[1], w.describe())
+			return fmt.Errorf("%s is still running: %s", words[1], w.describe())
 		}
 	default:
 		return fmt.Errorf("unknown expectation %q", words[0])
@@ -255,46 +259,46 @@
 	return nil
 }
 
-func (s *player) expectPrimary(name string) error {
-	leads := s.world.primary()
+func (p *scenarioPlayer) expectPrimary(name string) error {
+	primary := p.world.primary()
 	got := "none"
-	if leads != nil {
-		got = leads.name
+	if primary != nil {
+		got = primary.name
 	}
 	if got != name {
-		return fmt.Errorf("primary is %s: %s", got, s.world.describe())
+		return fmt.Errorf("primary is %s: %s", got, p.world.describe())
 	}
 	return nil
 }
 
-func (s *player) expectVoterCount(count int) error {
-	leads := s.world.primary()
-	if leads == nil || len(leads.node.leadership.committed.Voters) != count {
-		return fmt.Errorf("not %d voters: %s", count, s.world.describe())
+func (p *scenarioPlayer) expectVoterCount(count int) error {
+	primary := p.world.primary()
+	if primary == nil || len(primary.node.leadership.committed.Voters) != count {
+		return fmt.Errorf("not %d voters: %s", count, p.world.describe())
 	}
 	return nil
 }
 
-// expectAllKnowPrimary wants every controller that runs to send callers to the primary.
-func (s *player) expectAllKnowPrimary() error {
-	leads := s.world.primary()
-	for _, one := range s.world.machines {
-		if one.node == nil {
+// expectAllKnowPrimary requires every running controller to send callers to the primary.
+func (p *scenarioPlayer) expectAllKnowPrimary() error {
+	primary := p.world.primary()
+	for _, machine := range p.world.machines {
+		if machine.node == nil {
 			continue
 		}
-		if told, known := one.node.PrimaryMember(); leads == nil || !known || told.Incarnation != leads.node.self.Incarnation {
-			return fmt.Errorf("%s sends callers to %q", one.name, told.Name)
+		if member, known := machine.node.PrimaryMember(); primary == nil || !known || member.Incarnation != primary.node.self.Incarnation {
+			return fmt.Errorf("%s sends callers to %q", machine.name, member.Name)
 		}
 	}
 	return nil
 }
 
-func (s *player) expectView(what string, names []string) error {
-	leads := s.world.primary()
-	if leads == nil {
-		return fmt.Errorf("no primary: %s", s.world.describe())
+func (p *scenarioPlayer) expectView(what string, names []string) error {
+	primary := p.world.primary()
+	if primary == nil {
+		return fmt.Errorf("no primary: %s", p.world.describe())
 	}
-	view := leads.node.leadership.committed
+	view := primary.node.leadership.committed
 	var got []string
 	for _, member := range view.Voters {
 		if what == "voters" || view.HasCopy(member.Incarnation) {
@@ -302,7 +306,7 @@
 		}
 	}
 	if !slices.Equal(got, names) {
-		return fmt.Errorf("%s are %v: %s", what, got, s.world.describe())
+		return fmt.Errorf("%s are %v: %s", what, got, p.world.describe())
 	}
 	return nil
 }
--- a/control/replication/search_test.go
+++ b/control/replication/search_test.go
@@ -8,135 +8,135 @@
 	"time"
 )
 
-// worlds is how many random worlds of each shape are played. For a longer search: go test -run Random -worlds 5000
+// worlds is the number of random worlds of each shape. For a longer search: go test -run Random -worlds 5000
 var worlds = flag.Int("worlds", 250, "random worlds of each shape")
 
-// tracer, if set, is told what happens in a random world.
+// tracer, if set, receives the trace of random worlds.
 var tracer func(string)
 
-// trouble is one thing that goes wrong in a searched world.
-type trouble struct {
-	name string
-	hits func(w *world, one *machine)
-	loss bool // a disk is gone for good: no more of these than the tolerance allows
+// fault is a failure that can be injected into a world.
+type fault struct {
+	name      string
+	inject    func(w *world, machine *machine)
+	losesDisk bool // a disk is lost for good; the tolerance limits how many of these are injected
 }
 
-// later undoes something after a while.
-func later(w *world, pause time.Duration, does func()) { w.schedule(pause, does) }
+// after schedules an action, such as the end of a fault.
+func after(w *world, pause time.Duration, action func()) { w.schedule(pause, action) }
 
-func shortWhile(w *world) time.Duration {
+func randomPause(w *world) time.Duration {
 	return 100*time.Millisecond + time.Duration(w.random.Int63n(int64(2500*time.Millisecond)))
 }
 
-// troubles are what the search chooses from.
-func troubles() []trouble {
-	return []trouble{
-		{name: "kill", hits: func(w *world, one *machine) {
-			w.kill(one)
-			later(w, shortWhile(w), func() { w.start(one) })
+// faults returns the faults that the search chooses from.
+func faults() []fault {
+	return []fault{
+		{name: "kill", inject: func(w *world, machine *machine) {
+			w.kill(machine)
+			after(w, randomPause(w), func() { w.start(machine) })
 		}},
-		{name: "power", hits: func(w *world, one *machine) {
-			w.powerLoss(one)
-			later(w, shortWhile(w), func() { w.start(one) })
+		{name: "power", inject: func(w *world, machine *machine) {
+			w.powerLoss(machine)
+			after(w, randomPause(w), func() { w.start(machine) })
 		}},
-		{name: "wipe", loss: true, hits: func(w *world, one *machine) {
-			w.wipe(one)
-			later(w, shortWhile(w)/2, func() { w.start(one) })
+		{name: "wipe", losesDisk: true, inject: func(w *world, machine *machine) {
+			w.wipe(machine)
+			after(w, randomPause(w)/2, func() { w.start(machine) })
 		}},
-		{name: "cut", hits: func(w *world, one *machine) {
-			w.isolate(one)
-			later(w, shortWhile(w), func() { clear(w.cut) })
+		{name: "cut", inject: func(w *world, machine *machine) {
+			w.isolate(machine)
+			after(w, randomPause(w), func() { clear(w.cutLinks) })
 		}},
-		{name: "deaf", hits: func(w *world, one *machine) {
-			w.deafen(one)
-			later(w, shortWhile(w), func() { clear(w.cut) })
+		{name: "deaf", inject: func(w *world, machine *machine) {
+			w.cutInbound(machine)
+			after(w, randomPause(w), func() { clear(w.cutLinks) })
 		}},
-		{name: "mute", hits: func(w *world, one *machine) {
-			w.silence(one)
-			later(w, shortWhile(w), func() { clear(w.cut) })
+		{name: "mute", inject: func(w *world, machine *machine) {
+			w.cutOutbound(machine)
+			after(w, randomPause(w), func() { clear(w.cutLinks) })
 		}},
-		{name: "link", hits: func(w *world, one *machine) {
+		{name: "link", inject: func(w *world, machine *machine) {
 			other := w.machines[w.random.Intn(len(w.machines))]
-			w.cut[link{one.name, other.name}] = true
-			later(w, shortWhile(w), func() { clear(w.cut) })
+			w.cutLinks[link{machine.name, other.name}] = true
+			after(w, randomPause(w), func() { clear(w.cutLinks) })
 		}},
-		{name: "freeze", hits: func(w *world, one *machine) {
-			w.freeze(one)
-			later(w, shortWhile(w), func() { w.thaw(one) })
+		{name: "freeze", inject: func(w *world, machine *machine) {
+			w.freeze(machine)
+			after(w, randomPause(w), func() { w.thaw(machine) })
 		}},
-		{name: "slow disk", hits: func(w *world, one *machine) {
-			one.disk.delay = 300 * time.Millisecond
-			later(w, shortWhile(w), func() { one.disk.delay = time.Millisecond })
+		{name: "slow disk", inject: func(w *world, machine *machine) {
+			machine.disk.delay = 300 * time.Millisecond
+			after(w, randomPause(w), func() { machine.disk.delay = time.Millisecond })
 		}},
-		{name: "stalled disk", hits: func(w *world, one *machine) {
-			one.disk.busyUntil = w.now + shortWhile(w)
+		{name: "stalled disk", inject: func(w *world, machine *machine) {
+			machine.disk.busyUntil = w.now + randomPause(w)
 		}},
-		{name: "refusing disk", hits: func(w *world, one *machine) {
-			one.disk.refuses = true
-			later(w, shortWhile(w), func() { one.disk.refuses = false })
+		{name: "refusing disk", inject: func(w *world, machine *machine) {
+			machine.disk.refuses = true
+			after(w, randomPause(w), func() { machine.disk.refuses = false })
 		}},
-		{name: "bad network", hits: func(w *world, one *machine) {
-			w.loss, w.doubled, w.late = 0.2, 0.2, 0.1
-			later(w, shortWhile(w), func() { w.loss, w.doubled, w.late = 0, 0, 0 })
+		{name: "bad network", inject: func(w *world, machine *machine) {
+			w.loss, w.duplicated, w.delayed = 0.2, 0.2, 0.1
+			after(w, randomPause(w), func() { w.loss, w.duplicated, w.delayed = 0, 0, 0 })
 		}},
-		{name: "leave", hits: func(w *world, one *machine) {
-			w.leave(one, true)
-			later(w, 6*time.Second, func() {
-				if one.stopping {
-					w.kill(one)
-					w.start(one)
+		{name: "leave", inject: func(w *world, machine *machine) {
+			w.leave(machine, true)
+			after(w, 6*time.Second, func() {
+				if machine.isLeaving {
+					w.kill(machine)
+					w.start(machine)
 				}
 			})
 		}},
-		{name: "replace", loss: true, hits: func(w *world, one *machine) {
-			w.powerLoss(one)
-			one.gone = true
-			later(w, shortWhile(w), func() {
+		{name: "replace", losesDisk: true, inject: func(w *world, machine *machine) {
+			w.powerLoss(machine)
+			machine.isGone = true
+			after(w, randomPause(w), func() {
 				w.start(w.addMachine(fmt.Sprintf("n%d", len(w.machines)), false))
 			})
 		}},
-		{name: "all power", hits: func(w *world, one *machine) {
-			for _, each := range w.machines {
-				w.powerLoss(each)
-				later(w, shortWhile(w)/4, func() { w.start(each) })
+		{name: "all power", inject: func(w *world, machine *machine) {
+			for _, machine := range w.machines {
+				w.powerLoss(machine)
+				after(w, randomPause(w)/4, func() { w.start(machine) })
 			}
 		}},
 	}
 }
 
-// shape of a searched world.
+// shape is the size of a world.
 type shape struct{ count, seeds, tolerance int }
 
 func shapes() []shape {
 	return []shape{{3, 3, 1}, {5, 3, 1}, {5, 3, 2}, {3, 2, 1}}
 }
 
-// randomWorld plays one random history and returns what the judge says.
-func randomWorld(seed int64, form shape, guards disabledGuards, choices []trouble) string {
-	w := newWorld(seed, form.count, form.seeds, form.tolerance, guards)
-	w.sameWord = guards.emptyDiskVotes
+// randomWorld runs one world with random faults and returns the first violation, or "".
+func randomWorld(seed int64, shape shape, guards disabledGuards, choices []fault) string {
+	w := newWorld(seed, shape.count, shape.seeds, shape.tolerance, guards)
+	w.keepsIncarnation = guards.emptyDiskVotes
 	w.trace = tracer
 	chooser := rand.New(rand.NewSource(seed * 7919))
 	if chooser.Intn(4) == 0 {
 		w.orderBytes = 3000 // snapshots of several pieces
 	}
-	w.run(50 * time.Millisecond) // the disks have the mark of the first start
+	w.run(50 * time.Millisecond) // the disks record that this is a first start
 	if chooser.Intn(2) == 0 {
-		w.run(2 * time.Second) // half of the worlds meet trouble while they are founded
+		w.run(2 * time.Second) // in the other half, faults hit the founding
 	}
-	bout(w, chooser, form, choices)
+	injectFaults(w, chooser, shape, choices)
 	w.settle(5 * time.Second)
-	if chooser.Intn(3) == 0 { // once more, when all is repaired
+	if chooser.Intn(3) == 0 { // again, after everything has been repaired
 		w.run(4 * time.Second)
-		bout(w, chooser, form, choices)
+		injectFaults(w, chooser, shape, choices)
 		w.settle(5 * time.Second)
 	}
-	return w.judge.broken
+	return w.checker.violation
 }
 
-// bout is a bout of troubles, with as many disks lost as the tolerance allows.
-func bout(w *world, chooser *rand.Rand, form shape, choices []trouble) {
-	losses := form.tolerance
+// injectFaults injects a series of random faults, with at most as many lost disks as the tolerance allows.
+func injectFaults(w *world, chooser *rand.Rand, shape shape, choices []fault) {
+	losses := shape.tolerance
 	if w.primary() == nil {
 		losses = 0
 	}
@@ -144,31 +144,31 @@
 	if chooser.Intn(2) == 0 {
 		steps, pause = 3*steps, pause/4
 	}
-	for ; steps > 0 && w.judge.broken == ""; steps-- {
-		what := choices[chooser.Intn(len(choices))]
+	for ; steps > 0 && w.checker.violation == ""; steps-- {
+		fault := choices[chooser.Intn(len(choices))]
 		running := w.running()
-		one := running[chooser.Intn(len(running))]
-		if what.loss {
+		machine := running[chooser.Intn(len(running))]
+		if fault.losesDisk {
 			if losses == 0 {
 				continue
 			}
 			losses--
 		}
 		if w.trace != nil {
-			w.trace(fmt.Sprintf("%8s %s: %s", w.now, what.name, one.name))
+			w.trace(fmt.Sprintf("%8s %s: %s", w.now, fault.name, machine.name))
 		}
-		what.hits(w, one)
+		fault.inject(w, machine)
 		w.run(time.Duration(chooser.Int63n(int64(pause))))
 	}
 }
 
-func TestRandomWorldsKeepTheirWord(t *testing.T) {
-	for _, form := range shapes() {
-		t.Run(fmt.Sprintf("%d nodes, %d seeds, tolerance %d", form.count, form.seeds, form.tolerance), func(t *testing.T) {
+func TestRandomFaultsLoseNoAcknowledgedChange(t *testing.T) {
+	for _, shape := range shapes() {
+		t.Run(fmt.Sprintf("%d nodes, %d seeds, tolerance %d", shape.count, shape.seeds, shape.tolerance), func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(1); seed <= int64(*worlds); seed++ {
-				if broken := randomWorld(seed, form, disabledGuards{}, troubles()); broken != "" {
-					t.Errorf("seed %d: %s", seed, broken)
+				if violation := randomWorld(seed, shape, disabledGuards{}, faults()); violation != "" {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
 			}
 		})
--- a/control/replication/sending.go
+++ b/control/replication/sending.go
@@ -7,99 +7,99 @@
 )
 
 const (
-	// batchBytes bounds the changes in one message, so that a word doesn't hold up the link for long.
-	batchBytes = 64 << 10
-	// changesResentAfter: changes that were sent are not sent again before a slowed disk can have answered.
-	changesResentAfter = 500 * time.Millisecond
+	// maxBatchBytes bounds the changes in one message, so that it doesn't occupy the link for long.
+	maxBatchBytes = 64 << 10
+	// resendChangesAfter is when unanswered changes are sent again: not before a slow disk can have synced them.
+	resendChangesAfter = 500 * time.Millisecond
 )
 
-// latest is the stamp of the newest change that was handed out.
-func (n *Node) latest() quorum.Stamp { return n.writtenStamp() }
+// latestStamp returns the stamp of the newest change, a pending one included.
+func (n *Node) latestStamp() quorum.Stamp { return n.writtenStamp() }
 
-// broadcast is a word to all. Each has a number, so that an answer shows which word it came after.
+// broadcast starts a round. An answer repeats the number of the round, which proves that it was sent after it.
 func (n *Node) broadcast() {
 	n.leadership.round++
 	n.leadership.roundAt = n.now
-	for _, one := range n.leadership.followers {
-		n.sendAppend(one)
+	for _, follower := range n.leadership.followers {
+		n.sendAppend(follower)
 	}
 }
 
-func (n *Node) sendAppend(one *follower) {
-	lead := n.leadership
-	word := &Append{Committed: lead.committed.ID, Latest: n.latest()}
-	word.View = n.viewFor(one)
-	word.Changes, word.Snapshot = n.stateFor(one)
-	n.sendTo(one.member, 0, Message{Epoch: lead.epoch, Request: lead.round, Append: word})
+func (n *Node) sendAppend(follower *follower) {
+	leadership := n.leadership
+	message := &Append{Committed: leadership.committed.ID, Latest: n.latestStamp()}
+	message.View = n.viewToSend(follower)
+	message.Changes, message.Snapshot = n.stateToSend(follower)
+	n.sendTo(follower.member, 0, Message{Epoch: leadership.epoch, Request: leadership.round, Append: message})
 }
 
-// viewFor is the view that the follower has yet to accept.
-func (n *Node) viewFor(one *follower) *quorum.View {
-	lead := n.leadership
-	view := lead.committed
-	if lead.proposed != nil {
-		view = *lead.proposed
+// viewToSend returns the newest view if the follower has yet to accept it and it was not sent just now.
+func (n *Node) viewToSend(follower *follower) *quorum.View {
+	leadership := n.leadership
+	view := leadership.committed
+	if leadership.proposed != nil {
+		view = *leadership.proposed
 	}
-	if !one.accepted.Less(view.ID) {
+	if !follower.accepted.Less(view.ID) {
 		return nil
 	}
-	if one.viewSent == view.ID && n.now-one.viewSentAt < changesResentAfter {
+	if follower.viewSent == view.ID && n.now-follower.viewSentAt < resendChangesAfter {
 		return nil
 	}
-	one.viewSent = view.ID
-	one.viewSentAt = n.now
+	follower.viewSent = view.ID
+	follower.viewSentAt = n.now
 	return &view
 }
 
-// stateFor is what brings the follower on: changes, or the offer of a snapshot.
-func (n *Node) stateFor(one *follower) ([]Change, *SnapshotOffer) {
-	latest := n.latest()
-	if one.received == latest || n.now-one.heard > 3*n.settings.Timing.Heartbeat {
-		return nil, nil // one that is silent gets heartbeats only, and says where it is when it is back
+// stateToSend returns what the follower needs to catch up: changes, or the offer of a snapshot.
+func (n *Node) stateToSend(follower *follower) ([]Change, *SnapshotOffer) {
+	latest := n.latestStamp()
+	if follower.received == latest || n.now-follower.heardAt > 3*n.settings.Timing.Heartbeat {
+		return nil, nil // a silent follower gets heartbeats only, and reports its stamp when it is back
 	}
-	if one.sentStamp == one.received && one.sentLatest == latest && n.now-one.sentAt < changesResentAfter {
+	if follower.sentStamp == follower.received && follower.sentLatest == latest && n.now-follower.sentAt < resendChangesAfter {
 		return nil, nil
 	}
-	changes, kept := n.history.since(one.received)
-	if !kept || !n.history.worthwhile(changes) {
-		if !one.answered {
-			return nil, nil // its promise may be missing; it will say where it is
+	changes, kept := n.history.changesSince(follower.received)
+	if !kept || !n.history.prefersChanges(changes) {
+		if !follower.answered {
+			return nil, nil // its stamp may be unknown; its answer will report it
 		}
-		served := n.offered()
-		n.noteSent(one, latest)
+		served := n.currentSnapshot()
+		n.noteSent(follower, latest)
 		return nil, &SnapshotOffer{Stamp: served.stamp, Pieces: served.pieces()}
 	}
 	if n.leadership.pending != nil {
 		changes = append(changes[:len(changes):len(changes)], n.leadership.pending.change)
 	}
-	n.noteSent(one, latest)
-	return batch(changes), nil
+	n.noteSent(follower, latest)
+	return firstBatch(changes), nil
 }
 
-func (n *Node) noteSent(one *follower, latest quorum.Stamp) {
-	one.sentStamp = one.received
-	one.sentLatest = latest
-	one.sentAt = n.now
+func (n *Node) noteSent(follower *follower, latest quorum.Stamp) {
+	follower.sentStamp = follower.received
+	follower.sentLatest = latest
+	follower.sentAt = n.now
 }
 
-// batch is as many of the changes as fit into one message, one at least.
-func batch(changes []Change) []Change {
+// firstBatch returns as many of the changes as fit into one message, but at least one.
+func firstBatch(changes []Change) []Change {
 	size := 0
 	for index, change := range changes {
 		size += changeSize(change)
-		if index > 0 && size > batchBytes {
+		if index > 0 && size > maxBatchBytes {
 			return changes[:index]
 		}
 	}
 	return changes
 }
 
-// bringOn sends the next changes at once, if there is something new to send.
-func (n *Node) bringOn(one *follower) {
-	changes, offer := n.stateFor(one)
+// sendMissingChanges sends the next changes or an offer at once, if there is something new to send.
+func (n *Node) sendMissingChanges(follower *follower) {
+	changes, offer := n.stateToSend(follower)
 	if changes == nil && offer == nil {
 		return
 	}
-	word := &Append{Committed: n.leadership.committed.ID, Latest: n.latest(), Changes: changes, Snapshot: offer}
-	n.sendTo(one.member, 0, Message{Epoch: n.leadership.epoch, Request: n.leadership.round, Append: word})
+	message := &Append{Committed: n.leadership.committed.ID, Latest: n.latestStamp(), Changes: changes, Snapshot: offer}
+	n.sendTo(follower.member, 0, Message{Epoch: n.leadership.epoch, Request: n.leadership.round, Append: message})
 }
--- a/control/replication/snapshot.go
+++ b/control/replication/snapshot.go
@@ -10,48 +10,48 @@
 )
 
 const (
-	// pieceBytes keeps a piece's way over a link of 2 Mbit/s at 65 ms, so that heartbeats aren't held up behind it.
+	// pieceBytes makes a piece take 65 ms on a link of 2 Mbit/s, so that heartbeats are not delayed much behind it.
 	pieceBytes = 16 << 10
-	// pieceRetry: a piece that has not come by then is asked for again.
+	// pieceRetry is how long a node waits for a piece before it asks again.
 	pieceRetry = 400 * time.Millisecond
-	// fetchLostAfter: after this long without a piece the source is taken for lost.
+	// fetchLostAfter is how long a node waits for a piece before it takes the source for lost.
 	fetchLostAfter = 2 * time.Second
-	// snapshotIdleAfter frees a snapshot that nobody fetches any more.
+	// snapshotIdleAfter is when a snapshot that nobody fetches any more is freed.
 	snapshotIdleAfter = 5 * time.Second
-	// servedSnapshots: who fetches slowly goes on with an older one while others begin with the newest.
-	servedSnapshots = 2
+	// maxServedSnapshots allows a slow fetch to finish an older snapshot while others begin with the newest.
+	maxServedSnapshots = 2
 )
 
-var errSnapshotCutOff = eris.New("replication: a snapshot ends in the middle of an entry")
+var errSnapshotTruncated = eris.New("replication: snapshot ends in the middle of an entry")
 
-// serving is a snapshot that others fetch. Changes that come meanwhile don't touch it.
-type serving struct {
-	stamp quorum.Stamp
-	bytes []byte
-	used  time.Duration
+// servedSnapshot is a snapshot that others fetch. Later changes don't affect it.
+type servedSnapshot struct {
+	stamp  quorum.Stamp
+	bytes  []byte
+	usedAt time.Duration
 }
 
-func (s *serving) pieces() int { return max(1, (len(s.bytes)+pieceBytes-1)/pieceBytes) }
+func (s *servedSnapshot) pieces() int { return max(1, (len(s.bytes)+pieceBytes-1)/pieceBytes) }
 
-func (s *serving) piece(index int) []byte {
+func (s *servedSnapshot) piece(index int) []byte {
 	from := min(index*pieceBytes, len(s.bytes))
 	to := min(from+pieceBytes, len(s.bytes))
 	return s.bytes[from:to]
 }
 
-// fetch is a snapshot on its way here.
-type fetch struct {
-	source   quorum.Member
-	epoch    quorum.Epoch
-	stamp    quorum.Stamp
-	next     int
-	bytes    []byte
-	request  uint64
-	asked    time.Duration
-	advanced time.Duration
+// snapshotFetch is a snapshot that this node is fetching.
+type snapshotFetch struct {
+	source     quorum.Member
+	epoch      quorum.Epoch
+	stamp      quorum.Stamp
+	next       int
+	bytes      []byte
+	request    uint64
+	askedAt    time.Duration
+	advancedAt time.Duration
 }
 
-// encodeEntries writes entries one after the other, each length before its bytes.
+// encodeEntries writes the keys and values one after the other, each with its length before it.
 func encodeEntries(entries []Mutation) []byte {
 	var out []byte
 	for _, entry := range entries {
@@ -83,44 +83,44 @@
 func decodeBytes(in []byte) (field, rest []byte, err error) {
 	length, used := binary.Uvarint(in)
 	if used <= 0 || uint64(len(in)-used) < length {
-		return nil, nil, errSnapshotCutOff
+		return nil, nil, errSnapshotTruncated
 	}
 	end := used + int(length)
 	return in[used:end:end], in[end:], nil
 }
 
-// offered is a snapshot from which it is worthwhile to go on with changes: the newest that is served, or a new one.
-func (n *Node) offered() *serving {
-	if count := len(n.serving); count > 0 {
-		newest := n.serving[count-1]
-		changes, leads := n.changesAfter(newest.stamp)
-		if leads && n.history.worthwhile(changes) {
+// currentSnapshot returns the newest served snapshot if sending the changes after it is cheaper than a new one, else a new one.
+func (n *Node) currentSnapshot() *servedSnapshot {
+	if count := len(n.snapshots); count > 0 {
+		newest := n.snapshots[count-1]
+		changes, found := n.changesAfter(newest.stamp)
+		if found && n.history.prefersChanges(changes) {
 			return newest
 		}
 	}
-	made := &serving{stamp: n.history.stamp, bytes: encodeEntries(n.history.list("")), used: n.now}
-	n.serving = append(n.serving, made)
-	if len(n.serving) > servedSnapshots {
-		n.serving = n.serving[1:]
+	created := &servedSnapshot{stamp: n.history.stamp, bytes: encodeEntries(n.history.list("")), usedAt: n.now}
+	n.snapshots = append(n.snapshots, created)
+	if len(n.snapshots) > maxServedSnapshots {
+		n.snapshots = n.snapshots[1:]
 	}
-	return made
+	return created
 }
 
-// served is the snapshot asked for, as long as changes lead on from it.
-func (n *Node) served(stamp quorum.Stamp) *serving {
-	for _, one := range n.serving {
-		if one.stamp != stamp {
+// snapshotFor returns the requested snapshot if the changes after it are kept, else the current one.
+func (n *Node) snapshotFor(stamp quorum.Stamp) *servedSnapshot {
+	for _, snapshot := range n.snapshots {
+		if snapshot.stamp != stamp {
 			continue
 		}
-		if _, leads := n.changesAfter(stamp); leads {
-			return one
+		if _, found := n.changesAfter(stamp); found {
+			return snapshot
 		}
 	}
-	return n.offered()
+	return n.currentSnapshot()
 }
 
-// changesAfter returns the changes that lead from a snapshot to the present state. A candidate, to whom a voter shows the
-// state that it promised, gets no changes after it.
+// changesAfter returns the changes that lead from a snapshot to the current state, and whether they are available. A voter that
+// serves a candidate has none: its snapshot must be the state that it promised.
 func (n *Node) changesAfter(stamp quorum.Stamp) ([]Change, bool) {
 	if n.leadership == nil {
 		return nil, stamp == n.history.stamp
@@ -128,23 +128,23 @@
 	if stamp.Epoch != n.leadership.epoch {
 		return nil, false
 	}
-	return n.history.since(stamp)
+	return n.history.changesSince(stamp)
 }
 
 func (n *Node) dropIdleSnapshots() {
-	if len(n.serving) == 0 {
+	if len(n.snapshots) == 0 {
 		return
 	}
-	kept := n.serving[:0:0]
-	for _, one := range n.serving {
-		if n.now-one.used <= snapshotIdleAfter {
-			kept = append(kept, one)
+	kept := n.snapshots[:0:0]
+	for _, snapshot := range n.snapshots {
+		if n.now-snapshot.usedAt <= snapshotIdleAfter {
+			kept = append(kept, snapshot)
 		}
 	}
-	n.serving = kept
+	n.snapshots = kept
 }
 
-// onFetch serves a member that follows this node, or a candidate that has this node's promise.
+// onFetch serves a follower of this node, or a candidate that has this node's promise.
 func (n *Node) onFetch(message Message) {
 	leads := n.leadership != nil && n.leadership.epoch == message.Epoch
 	promised := n.leadership == nil && n.record.Promised == message.Epoch && n.candidacy == nil
@@ -152,32 +152,32 @@
 		n.drop()
 		return
 	}
-	served := n.served(message.Fetch.Stamp)
-	served.used = n.now
+	snapshot := n.snapshotFor(message.Fetch.Stamp)
+	snapshot.usedAt = n.now
 	index := message.Fetch.Index
-	if message.Fetch.Stamp != served.stamp || index < 0 || index >= served.pieces() {
+	if message.Fetch.Stamp != snapshot.stamp || index < 0 || index >= snapshot.pieces() {
 		index = 0
 	}
-	n.answer(message, 0, Message{Piece: &Piece{
-		Stamp: served.stamp,
+	n.reply(message, 0, Message{Piece: &Piece{
+		Stamp: snapshot.stamp,
 		Index: index,
-		Total: served.pieces(),
-		Bytes: served.piece(index),
+		Total: snapshot.pieces(),
+		Bytes: snapshot.piece(index),
 	}})
 }
 
-// startFetch begins to fetch a snapshot, unless one from the same source is on its way.
+// startFetch begins to fetch a snapshot, unless one of the epoch is being fetched from the same source.
 func (n *Node) startFetch(source quorum.Member, epoch quorum.Epoch, stamp quorum.Stamp) {
 	if n.fetch != nil && n.fetch.epoch == epoch && n.fetch.source.Incarnation == source.Incarnation {
 		return
 	}
-	n.fetch = &fetch{source: source, epoch: epoch, stamp: stamp, advanced: n.now}
-	n.askPiece()
+	n.fetch = &snapshotFetch{source: source, epoch: epoch, stamp: stamp, advancedAt: n.now}
+	n.requestPiece()
 }
 
-func (n *Node) askPiece() {
+func (n *Node) requestPiece() {
 	n.fetch.request = n.nextRequest()
-	n.fetch.asked = n.now
+	n.fetch.askedAt = n.now
 	n.sendTo(n.fetch.source, 0, Message{
 		Epoch:   n.fetch.epoch,
 		Request: n.fetch.request,
@@ -189,12 +189,12 @@
 	if n.fetch == nil {
 		return
 	}
-	if n.now-n.fetch.advanced > fetchLostAfter {
+	if n.now-n.fetch.advancedAt > fetchLostAfter {
 		n.fetch = nil
 		return
 	}
-	if n.now-n.fetch.asked >= pieceRetry {
-		n.askPiece()
+	if n.now-n.fetch.askedAt >= pieceRetry {
+		n.requestPiece()
 	}
 }
 
@@ -206,29 +206,29 @@
 		return
 	}
 	if piece.Stamp != n.fetch.stamp && n.candidacy != nil {
-		n.abandonCandidacy(n.retrySoon()) // not the state that was promised
+		n.abandonCandidacy(n.silenceStartForRetry()) // not the state that the source promised
 		return
 	}
-	if piece.Stamp != n.fetch.stamp { // the one that was asked for is gone
+	if piece.Stamp != n.fetch.stamp { // the requested snapshot is gone
 		n.fetch.stamp = piece.Stamp
 		n.fetch.next = 0
 		n.fetch.bytes = nil
 	}
 	if piece.Index != n.fetch.next {
-		n.askPiece()
+		n.requestPiece()
 		return
 	}
 	n.fetch.bytes = append(n.fetch.bytes, piece.Bytes...)
 	n.fetch.next++
-	n.fetch.advanced = n.now
+	n.fetch.advancedAt = n.now
 	if n.fetch.next < piece.Total {
-		n.askPiece()
+		n.requestPiece()
 		return
 	}
 	n.install()
 }
 
-// install replaces the state by a snapshot that is complete.
+// install replaces the state by the complete snapshot.
 func (n *Node) install() {
 	done := n.fetch
 	n.fetch = nil
@@ -239,8 +239,8 @@
 	}
 	n.history = newHistory(done.stamp, entries)
 	n.writeAll()
-	n.noteAgreed()
-	n.event("snapshot installed", done.stamp.String())
+	n.clearRestored()
+	n.logEvent("snapshot installed", done.stamp.String())
 	if n.candidacy != nil {
 		n.takeOver(n.candidacy.base)
 		return
--- a/control/replication/views.go
+++ b/control/replication/views.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// bringUpWait: a candidate with enough copies waits this long for those that answer but are not done,
-	bringUpWait = 500 * time.Millisecond
-	// and this long for those that haven't answered at all.
-	bringUpPause = 60 * time.Millisecond
+	// maxCatchUpWait is how long a new primary with enough copies waits for voters that answer but have not caught up yet.
+	maxCatchUpWait = 500 * time.Millisecond
+	// minCatchUpWait is how long it waits for voters that have not answered at all.
+	minCatchUpWait = 60 * time.Millisecond
 )
 
-// proposeFirstView proposes the view (epoch, 0): the voters are unchanged, and the copies are those that have the state.
+// proposeFirstView proposes revision 0 of the epoch: its voters are unchanged, and its copies are the voters that have caught
+// up.
 func (n *Node) proposeFirstView() {
-	lead := n.leadership
-	copies, more := n.broughtUp()
-	if len(copies) < min(n.floor(), len(lead.base.Voters)) && !n.guards.noFloor {
-		lead.enoughAt = 0
+	leadership := n.leadership
+	copies, mayGrow := n.caughtUpVoters()
+	if len(copies) < min(n.minCopies(), len(leadership.base.Voters)) && !n.guards.noMinCopies {
+		leadership.enoughCopiesAt = 0
 		return
 	}
-	if lead.enoughAt == 0 {
-		lead.enoughAt = n.now
+	if leadership.enoughCopiesAt == 0 {
+		leadership.enoughCopiesAt = n.now
 	}
-	waited := n.now - lead.enoughAt
-	all := len(copies) == len(lead.base.Voters)
-	if (!all && waited < bringUpPause) || (more && waited < bringUpWait) {
+	waited := n.now - leadership.enoughCopiesAt
+	all := len(copies) == len(leadership.base.Voters)
+	if (!all && waited < minCatchUpWait) || (mayGrow && waited < maxCatchUpWait) {
 		return
 	}
 	n.proposeView(quorum.View{
-		ID:      quorum.ViewID{Epoch: lead.epoch},
+		ID:      quorum.ViewID{Epoch: leadership.epoch},
 		Primary: n.self.Incarnation,
 		Copies:  copies,
-		Voters:  lead.base.Voters,
+		Voters:  leadership.base.Voters,
 	})
-	lead.phase = installing
+	leadership.phase = installing
 }
 
-// broughtUp returns the voters that have the restamped state on disk, and whether others answer and may follow.
-func (n *Node) broughtUp() (copies []quorum.Incarnation, more bool) {
+// caughtUpVoters returns the voters that have the restamped state on disk, and whether others answer and may catch up soon.
+func (n *Node) caughtUpVoters() (copies []quorum.Incarnation, mayGrow bool) {
 	if !n.hasRestamped(n.self.Incarnation) {
 		return nil, true
 	}
@@ -49,9 +50,9 @@
 			copies = append(copies, member.Incarnation)
 			continue
 		}
-		more = more || n.hasAnswered(member.Incarnation)
+		mayGrow = mayGrow || n.hasAnswered(member.Incarnation)
 	}
-	return copies, more
+	return copies, mayGrow
 }
 
 func (n *Node) hasRestamped(incarnation quorum.Incarnation) bool {
@@ -62,14 +63,14 @@
 }
 
 func (n *Node) hasAnswered(incarnation quorum.Incarnation) bool {
-	one := n.leadership.follower(incarnation)
-	return incarnation == n.self.Incarnation || (one != nil && one.answered)
+	follower := n.leadership.follower(incarnation)
+	return incarnation == n.self.Incarnation || (follower != nil && follower.answered)
 }
 
-// proposeView accepts the view here and sends it to all.
+// proposeView accepts the view locally and sends it to all followers.
 func (n *Node) proposeView(view quorum.View) {
-	lead := n.leadership
-	lead.proposed = &view
+	leadership := n.leadership
+	leadership.proposed = &view
 	n.record.Accepted = view
 	n.record.MayFound = false
 	n.learnView(view)
@@ -79,67 +80,67 @@
 
 // commitView commits the proposed view when a majority of its own voters has it on disk.
 func (n *Node) commitView() {
-	lead := n.leadership
-	if lead.proposed == nil {
+	leadership := n.leadership
+	if leadership.proposed == nil {
 		return
 	}
-	view := *lead.proposed
+	view := *leadership.proposed
 	committed := view.IsMajority(func(incarnation quorum.Incarnation) bool {
 		if incarnation == n.self.Incarnation {
 			return !n.disk.accepted.Less(view.ID)
 		}
-		one := lead.follower(incarnation)
-		return one != nil && !one.accepted.Less(view.ID)
+		follower := leadership.follower(incarnation)
+		return follower != nil && !follower.accepted.Less(view.ID)
 	})
 	if !committed {
 		return
 	}
-	lead.committed = view
-	lead.proposed = nil
-	n.event("view committed", describe(view))
-	if lead.phase != leading {
-		lead.phase = leading
-		n.event("primary", fmt.Sprintf("epoch %d", lead.epoch))
+	leadership.committed = view
+	leadership.proposed = nil
+	n.logEvent("view committed", describeView(view))
+	if leadership.phase != leading {
+		leadership.phase = leading
+		n.logEvent("primary", fmt.Sprintf("epoch %d", leadership.epoch))
 	}
-	n.releaseVotedOut()
+	n.removeVotedOut()
 	n.broadcast()
 	n.changeView()
 }
 
-func describe(view quorum.View) string {
+func describeView(view quorum.View) string {
 	return fmt.Sprintf("%s: %d voters, %d copies", view.ID, len(view.Voters), len(view.Copies))
 }
 
-// releaseVotedOut tells those that are out a last time, and forgets them.
-func (n *Node) releaseVotedOut() {
-	lead := n.leadership
-	kept := lead.followers[:0:0]
-	for _, one := range lead.followers {
-		_, votes := lead.committed.Voter(one.member.Incarnation)
-		if !votes && !one.learner {
-			n.sendAppend(one)
+// removeVotedOut sends a last message to followers that are no longer voters, and forgets them.
+func (n *Node) removeVotedOut() {
+	leadership := n.leadership
+	kept := leadership.followers[:0:0]
+	for _, follower := range leadership.followers {
+		_, votes := leadership.committed.Voter(follower.member.Incarnation)
+		if !votes && !follower.learner {
+			n.sendAppend(follower)
 			continue
 		}
-		one.learner = !votes
-		kept = append(kept, one)
+		follower.learner = !votes
+		kept = append(kept, follower)
 	}
-	lead.followers = kept
+	leadership.followers = kept
 }
 
-// changeView begins the next view change, if one is due and none is under way.
+// changeView begins the next view change, if one is due and none is in progress.
 func (n *Node) changeView() {
-	lead := n.leadership
-	if lead.proposed != nil && !n.guards.manyViewChanges {
+	leadership := n.leadership
+	if leadership.proposed != nil && !n.guards.concurrentViewChanges {
 		return
 	}
-	if n.disk.bad {
+	if n.disk.failed {
 		return
 	}
 	next, due := n.nextView()
 	if !due {
 		return
 	}
-	next.ID = quorum.ViewID{Epoch: lead.epoch, Revision: n.record.Accepted.ID.Revision + 1}
+	next.ID = quorum.ViewID{Epoch: leadership.epoch, Revision: n.record.Accepted.ID.Revision + 1}
 	next.Primary = n.self.Incarnation
 	n.proposeView(next)
 }
@@ -154,11 +155,11 @@
 		return view, true
 	}
 	if learner := n.readyLearner(view); learner != nil {
-		return n.viewWith(view, learner), true
+		return n.withVoter(view, learner), true
 	}
 	for _, member := range view.Voters {
-		if n.givesWay(view, member) {
-			return without(view, member.Incarnation), true
+		if n.shouldVoteOut(view, member) {
+			return withoutVoter(view, member.Incarnation), true
 		}
 	}
 	return view, false
--- a/control/replication/vote.go
+++ b/control/replication/vote.go
@@ -7,7 +7,7 @@
 )
 
 func (n *Node) onPoll(message Message) {
-	n.answer(message, 0, Message{PollAnswer: &PollAnswer{
+	n.reply(message, 0, Message{PollAnswer: &PollAnswer{
 		Missing:  n.missesPrimary(message.From),
 		MayFound: n.mayFound(),
 		Promised: n.record.Promised,
@@ -15,7 +15,7 @@
 	}})
 }
 
-// missesPrimary tells whether this node would welcome the asker's candidacy. The primary itself may always ask.
+// missesPrimary reports whether this node supports a candidacy of the asker: it hears no primary, or the asker is the primary.
 func (n *Node) missesPrimary(asker quorum.Member) bool {
 	if n.leadership != nil {
 		return false
@@ -26,37 +26,38 @@
 	if !n.leader.known || n.leader.member.Incarnation == asker.Incarnation {
 		return true
 	}
-	return n.now-n.leader.heard >= n.settings.Timing.ElectionAfter*3/4
+	return n.now-n.leader.heardAt >= n.settings.Timing.ElectionAfter*3/4
 }
 
-// onPrepare promises to take nothing of a lower epoch from now on, unless a primary is being heard.
+// onPrepare promises to accept nothing of a lower epoch from now on, unless this node still hears a primary.
 func (n *Node) onPrepare(message Message) {
 	prepare := message.Prepare
 	epoch := message.Epoch
 	n.learnEpoch(epoch)
-	again := epoch == n.record.Promised && n.leader.known && n.leader.epoch == epoch &&
+	repeated := epoch == n.record.Promised && n.leader.known && n.leader.epoch == epoch &&
 		n.leader.member.Incarnation == message.From.Incarnation
-	if (epoch <= n.record.Promised && !again) || !n.mayPromise(message) {
+	if (epoch <= n.record.Promised && !repeated) || !n.mayPromise(message) {
 		n.refuse(message)
 		return
 	}
-	if !prepare.Handover && !again && !n.missesPrimary(message.From) {
+	if !prepare.Handover && !repeated && !n.missesPrimary(message.From) {
 		n.refuse(message)
 		return
 	}
-	if !again {
+	if !repeated {
 		n.promiseTo(message.From, epoch)
 	}
-	n.leader.heard = n.now
+	n.leader.heardAt = n.now
 	n.silentSince = n.now
 	after := n.lastWrite()
 	if n.guards.promiseBeforeSync {
 		after = 0
 	}
-	n.answer(message, after, Message{Promise: &Promise{Accepted: n.record.Accepted, Stamp: n.history.stamp}})
+	n.reply(message, after, Message{Promise: &Promise{Accepted: n.record.Accepted, Stamp: n.history.stamp}})
 }
 
-// mayPromise tells whether this node's vote counts for the candidate at all.
+// mayPromise reports whether this node may vote for the candidate: as one that may found the core, as one that has accepted
+// a view before, or as a voter of the candidate's view.
 func (n *Node) mayPromise(message Message) bool {
 	prepare := message.Prepare
 	if prepare.View.ID == (quorum.ViewID{}) {
@@ -69,27 +70,27 @@
 	return votes
 }
 
-// promiseTo ends everything of a lower epoch.
+// promiseTo records the promise and ends everything of a lower epoch.
 func (n *Node) promiseTo(candidate quorum.Member, epoch quorum.Epoch) {
 	n.record.Promised = epoch
 	n.learnEpoch(epoch)
 	if n.leadership != nil {
-		n.stepDown(fmt.Sprintf("%s stands with epoch %d", candidate.Name, epoch))
+		n.stepDown(fmt.Sprintf("%s stands for election with epoch %d", candidate.Name, epoch))
 	}
 	n.candidacy = nil
 	n.fetch = nil
-	n.owed = nil
+	n.deferred = nil
 	n.writeRecord()
-	n.leader = leaderSeen{member: candidate, epoch: epoch, heard: n.now, known: true}
+	n.leader = followedLeader{member: candidate, epoch: epoch, heardAt: n.now, known: true}
 	n.silentSince = n.now
 }
 
-// refuse tells the sender that its epoch is over or its question unwelcome.
+// refuse tells the sender that its epoch is over, or that its candidacy is not supported.
 func (n *Node) refuse(message Message) {
 	view := n.known
 	refusal := &Refusal{Promised: n.record.Promised}
 	if view.ID != (quorum.ViewID{}) {
 		refusal.View = &view
 	}
-	n.answer(message, 0, Message{Refusal: refusal})
+	n.reply(message, 0, Message{Refusal: refusal})
 }
