--- a/control/replication/world_test.go
+++ b/control/replication/world_test.go
@@ -11,89 +11,90 @@
 	"eiderway/testing/virtualtime"
 )
 
-// The world is a small simulated network of nodes with disks, and a judge of what they say. The judge knows only what
-// was asked, what was answered, and what a primary's state holds: nothing of how a node decides.
+// The world is a small simulated network of nodes with disks, and a checker of their answers. The checker knows only what was
+// asked, what was answered, and the content of a primary's state and of the disks, not how a node decides. An order is a
+// change that the client of the world proposes.
 
 const (
-	tickPause = 25 * time.Millisecond
-	askPause  = 60 * time.Millisecond // between two orders of the world's client
+	tickInterval   = 25 * time.Millisecond
+	clientInterval = 60 * time.Millisecond // between two orders of the client
 )
 
-// machine is one computer: its process, if it runs, and its disk.
+// machine is a computer with a disk and a process, which may not be running.
 type machine struct {
-	name        string
-	address     string
-	lives       int // disks so far
-	incarnation quorum.Incarnation
-	node        *Node
-	firstStart  bool
-	frozen      bool
-	gone        bool // for good
-	stopping    bool
-	comesBack   bool
-	life        int // of the process
-	disk        simulatedDisk
-	held        []Envelope
-	waiting     []Input // of a frozen process
-	events      []Event
+	name          string
+	address       string
+	diskCount     int // disks that it has had so far
+	incarnation   quorum.Incarnation
+	node          *Node
+	firstStart    bool
+	isFrozen      bool
+	isGone        bool // it never comes back
+	isLeaving     bool
+	comesBack     bool
+	generation    int // of the process; actions scheduled for an earlier one are ignored
+	disk          simulatedDisk
+	heldMessages  []Envelope
+	pendingInputs []Input // inputs that arrived while the process was frozen
+	events        []Event
 }
 
 type simulatedDisk struct {
 	durable   DurableState
-	handed    []Write // not yet on disk
+	unsynced  []Write // not yet on disk
 	busyUntil time.Duration
 	delay     time.Duration
 	refuses   bool
 	synced    uint64
 
-	written    uint64 // by all lives of the process
-	failPoint  uint64 // at this write the power goes, once
-	failSynced bool   // right after it is on disk
-	failed     func()
+	written            uint64 // number of writes by all generations of the process
+	powerLossWrite     uint64 // number of the write at which the power is lost; 0: none
+	powerLossAfterSync bool   // after that write is on disk rather than before
+	onPowerLoss        func()
 }
 
-// failsNow tells, at the end of each write, whether the power goes before the process learns of it.
-func (d *simulatedDisk) failsNow() bool {
+// losesPowerNow counts a finished write and reports whether the power is lost before the process learns of it.
+func (d *simulatedDisk) losesPowerNow() bool {
 	d.written++
-	return d.failPoint != 0 && d.written == d.failPoint
+	return d.powerLossWrite != 0 && d.written == d.powerLossWrite
 }
 
 type link = virtualtime.Link
 
 type world struct {
-	now        time.Duration
-	agenda     virtualtime.Agenda
-	random     *rand.Rand
-	machines   []*machine
-	byAddress  map[string]*machine
-	lost       []DurableState // disks that are gone
-	cut        virtualtime.Links
-	loss       float64
-	doubled    float64
-	late       float64
-	tolerance  int
-	seeds      []string
-	guards     disabledGuards
-	sameWord   bool // a lost disk comes back with the same incarnation: only to show what that would do
-	judge      judge
-	client     bool // orders and questions keep coming
-	orderBytes int
-	requests   uint64
-	messages   int
-	bytes      func(Message) int
-	sentBytes  int
-	trace      func(string)
+	now              time.Duration
+	agenda           virtualtime.Agenda
+	random           *rand.Rand
+	machines         []*machine
+	byAddress        map[string]*machine
+	lostDisks        []DurableState // disks lost for good
+	cutLinks         virtualtime.Links
+	loss             float64
+	duplicated       float64
+	delayed          float64
+	tolerance        int
+	seeds            []string
+	guards           disabledGuards
+	keepsIncarnation bool // a lost disk returns with the same incarnation, to show what that would break
+	checker          checker
+	clientActive     bool // the client keeps sending orders and confirmations
+	orderBytes       int
+	requests         uint64
+	messages         int
+	bytes            func(Message) int
+	sentBytes        int
+	trace            func(string)
 }
 
 func newWorld(seed int64, count, seeds, tolerance int, guards disabledGuards) *world {
 	w := &world{
-		random:    rand.New(rand.NewSource(seed)),
-		byAddress: map[string]*machine{},
-		cut:       virtualtime.Links{},
-		tolerance: tolerance,
-		guards:    guards,
-		judge:     newJudge(),
-		client:    true,
+		random:       rand.New(rand.NewSource(seed)),
+		byAddress:    map[string]*machine{},
+		cutLinks:     virtualtime.Links{},
+		tolerance:    tolerance,
+		guards:       guards,
+		checker:      newChecker(),
+		clientActive: true,
 	}
 	for index := 0; index < count; index++ {
 		w.addMachine(string(rune('a'+index)), true)
@@ -101,26 +102,26 @@
 	for index := 0; index < seeds; index++ {
 		w.seeds = append(w.seeds, w.machines[index].address)
 	}
-	for _, one := range w.machines {
-		w.start(one)
+	for _, machine := range w.machines {
+		w.start(machine)
 	}
-	w.schedule(askPause, w.ask)
+	w.schedule(clientInterval, w.runClient)
 	return w
 }
 
 func (w *world) addMachine(name string, first bool) *machine {
-	one := &machine{name: name, address: name + ":1", firstStart: first}
-	one.disk.delay = time.Millisecond
-	w.emptyDisk(one)
-	w.machines = append(w.machines, one)
-	w.byAddress[one.address] = one
-	return one
+	machine := &machine{name: name, address: name + ":1", firstStart: first}
+	machine.disk.delay = time.Millisecond
+	w.emptyDisk(machine)
+	w.machines = append(w.machines, machine)
+	w.byAddress[machine.address] = machine
+	return machine
 }
 
 func (w *world) machine(name string) *machine {
-	for _, one := range w.machines {
-		if one.name == name {
-			return one
+	for _, machine := range w.machines {
+		if machine.name == name {
+			return machine
 		}
 	}
 	panic("no machine " + name)
@@ -128,79 +129,79 @@
 
 func (w *world) names() []string {
 	var names []string
-	for _, one := range w.machines {
-		names = append(names, one.name)
+	for _, machine := range w.machines {
+		names = append(names, machine.name)
 	}
 	return names
 }
 
-func (w *world) emptyDisk(one *machine) {
-	if !w.sameWord || one.lives == 0 {
-		one.lives++
+func (w *world) emptyDisk(machine *machine) {
+	if !w.keepsIncarnation || machine.diskCount == 0 {
+		machine.diskCount++
 	}
-	one.incarnation = quorum.Incarnation(fmt.Sprintf("%s%d", one.name, one.lives))
-	one.disk.durable = DurableState{Incarnation: one.incarnation, Entries: map[string][]byte{}}
-	one.disk.handed = nil
+	machine.incarnation = quorum.Incarnation(fmt.Sprintf("%s%d", machine.name, machine.diskCount))
+	machine.disk.durable = DurableState{Incarnation: machine.incarnation, Entries: map[string][]byte{}}
+	machine.disk.unsynced = nil
 }
 
-func (w *world) start(one *machine) {
-	if one.node != nil || one.gone {
+func (w *world) start(machine *machine) {
+	if machine.node != nil || machine.isGone {
 		return
 	}
-	durable := one.disk.durable
+	durable := machine.disk.durable
 	durable.Entries = maps.Clone(durable.Entries)
-	one.life++
-	one.frozen = false
-	one.stopping = false
-	one.disk.synced = 0
-	one.node = NewNode(w.now, Settings{
+	machine.generation++
+	machine.isFrozen = false
+	machine.isLeaving = false
+	machine.disk.synced = 0
+	machine.node = NewNode(w.now, Settings{
 		Self: quorum.Member{
-			Incarnation: one.incarnation,
-			Name:        one.name,
-			Address:     one.address,
-			Control:     one.name + ":2",
+			Incarnation: machine.incarnation,
+			Name:        machine.name,
+			Address:     machine.address,
+			Control:     machine.name + ":2",
 		},
 		Tolerance:  w.tolerance,
-		FirstStart: one.firstStart,
+		FirstStart: machine.firstStart,
 		Seeds:      w.seeds,
 		Timing:     DefaultTiming(),
 		Random:     w.random.Uint64(),
 	}, durable)
-	one.node.guards = w.guards
-	one.firstStart = false
-	w.tickLater(one, time.Duration(w.random.Int63n(int64(tickPause))))
+	machine.node.guards = w.guards
+	machine.firstStart = false
+	w.tickLater(machine, time.Duration(w.random.Int63n(int64(tickInterval))))
 }
 
-// kill ends the process. What was handed to the disk and not synced is there up to some place.
-func (w *world) kill(one *machine) {
-	if one.node == nil {
+// kill ends the process. A random prefix of the unsynced writes survives.
+func (w *world) kill(machine *machine) {
+	if machine.node == nil {
 		return
 	}
-	one.node = nil
-	one.life++
-	one.held = nil
-	one.waiting = nil
-	survive := w.random.Intn(len(one.disk.handed) + 1)
-	for _, write := range one.disk.handed[:survive] {
-		one.disk.carryOut(write)
+	machine.node = nil
+	machine.generation++
+	machine.heldMessages = nil
+	machine.pendingInputs = nil
+	survivors := w.random.Intn(len(machine.disk.unsynced) + 1)
+	for _, write := range machine.disk.unsynced[:survivors] {
+		machine.disk.apply(write)
 	}
-	one.disk.handed = nil
-	one.disk.busyUntil = w.now
+	machine.disk.unsynced = nil
+	machine.disk.busyUntil = w.now
 }
 
-// powerLoss ends the process, and nothing survives that was not synced.
-func (w *world) powerLoss(one *machine) {
-	one.disk.handed = nil
-	w.kill(one)
+// powerLoss ends the process, and no unsynced write survives.
+func (w *world) powerLoss(machine *machine) {
+	machine.disk.unsynced = nil
+	w.kill(machine)
 }
 
-func (w *world) wipe(one *machine) {
-	w.powerLoss(one)
-	w.lost = append(w.lost, one.disk.durable)
-	w.emptyDisk(one)
+func (w *world) wipe(machine *machine) {
+	w.powerLoss(machine)
+	w.lostDisks = append(w.lostDisks, machine.disk.durable)
+	w.emptyDisk(machine)
 }
 
-func (d *simulatedDisk) carryOut(write Write) {
+func (d *simulatedDisk) apply(write Write) {
 	if write.Voter != nil {
 		d.durable.Voter = *write.Voter
 	}
@@ -219,415 +220,417 @@
 	}
 }
 
-func (w *world) freeze(one *machine) {
-	if one.node != nil {
-		one.frozen = true
+func (w *world) freeze(machine *machine) {
+	if machine.node != nil {
+		machine.isFrozen = true
 	}
 }
 
-func (w *world) thaw(one *machine) {
-	if !one.frozen {
+func (w *world) thaw(machine *machine) {
+	if !machine.isFrozen {
 		return
 	}
-	one.frozen = false
-	waiting := one.waiting
-	one.waiting = nil
+	machine.isFrozen = false
+	waiting := machine.pendingInputs
+	machine.pendingInputs = nil
 	for _, input := range waiting {
-		w.step(one, input)
+		w.step(machine, input)
 	}
 }
 
-func (w *world) schedule(after time.Duration, does func()) { w.agenda.Add(w.now+after, does) }
+func (w *world) schedule(after time.Duration, action func()) { w.agenda.Add(w.now+after, action) }
 
-func (w *world) tickLater(one *machine, after time.Duration) {
-	life := one.life
+func (w *world) tickLater(machine *machine, after time.Duration) {
+	generation := machine.generation
 	w.schedule(after, func() {
-		if one.life != life {
+		if machine.generation != generation {
 			return
 		}
-		if !one.frozen {
-			w.step(one, Tick{})
+		if !machine.isFrozen {
+			w.step(machine, Tick{})
 		}
-		w.tickLater(one, tickPause)
+		w.tickLater(machine, tickInterval)
 	})
 }
 
-func (w *world) syncAt(at time.Duration, one *machine) {
-	life := one.life
+func (w *world) syncAt(at time.Duration, machine *machine) {
+	generation := machine.generation
 	w.agenda.Add(at, func() {
-		if one.life == life {
-			w.writeDone(one)
+		if machine.generation == generation {
+			w.writeDone(machine)
 		}
 	})
 }
 
-// run lets time pass.
+// run advances the time, up to the first violation.
 func (w *world) run(span time.Duration) {
 	end := w.now + span
-	for w.judge.broken == "" {
-		at, happens, found := w.agenda.Next(end)
+	for w.checker.violation == "" {
+		at, action, found := w.agenda.Next(end)
 		if !found {
 			break
 		}
 		w.now = at
-		happens()
+		action()
 	}
 	w.now = end
 }
 
 func (w *world) deliver(from *machine, envelope Envelope) {
-	one := w.byAddress[envelope.To]
-	if one == nil || one.node == nil || w.cut[link{from.name, one.name}] {
+	machine := w.byAddress[envelope.To]
+	if machine == nil || machine.node == nil || w.cutLinks[link{from.name, machine.name}] {
 		return
 	}
-	w.give(one, Received{Message: envelope.Message})
+	w.deliverInput(machine, Received{Message: envelope.Message})
 }
 
-func (w *world) give(one *machine, input Input) {
-	if one.frozen {
-		if len(one.waiting) < 200 {
-			one.waiting = append(one.waiting, input)
+func (w *world) deliverInput(machine *machine, input Input) {
+	if machine.isFrozen {
+		if len(machine.pendingInputs) < 200 {
+			machine.pendingInputs = append(machine.pendingInputs, input)
 		}
 		return
 	}
-	w.step(one, input)
+	w.step(machine, input)
 }
 
-// writeDone finishes the oldest write that was handed out.
-func (w *world) writeDone(one *machine) {
-	if len(one.disk.handed) == 0 {
+// writeDone finishes the oldest unsynced write.
+func (w *world) writeDone(machine *machine) {
+	if len(machine.disk.unsynced) == 0 {
 		return
 	}
-	if w.now < one.disk.busyUntil { // it has been stalled meanwhile
-		w.syncAt(one.disk.busyUntil, one)
+	if w.now < machine.disk.busyUntil { // the disk has been stalled meanwhile
+		w.syncAt(machine.disk.busyUntil, machine)
 		return
 	}
-	write := one.disk.handed[0]
-	if one.disk.refuses {
-		reached := w.random.Intn(len(one.disk.handed) + 1)
-		for _, unsure := range one.disk.handed[:reached] {
-			one.disk.carryOut(unsure)
+	write := machine.disk.unsynced[0]
+	if machine.disk.refuses {
+		reached := w.random.Intn(len(machine.disk.unsynced) + 1)
+		for _, unsynced := range machine.disk.unsynced[:reached] {
+			machine.disk.apply(unsynced)
 		}
-		one.disk.handed = nil
-		w.giveDisk(one, DiskFailed{Write: write.Number})
+		machine.disk.unsynced = nil
+		w.deliverDiskInput(machine, DiskFailed{Write: write.Number})
 		return
 	}
-	fails := one.disk.failsNow()
-	if fails && !one.disk.failSynced {
-		one.disk.failed()
+	losesPower := machine.disk.losesPowerNow()
+	if losesPower && !machine.disk.powerLossAfterSync {
+		machine.disk.onPowerLoss()
 		return
 	}
-	one.disk.handed = one.disk.handed[1:]
-	one.disk.carryOut(write)
-	if fails {
-		one.disk.failed()
+	machine.disk.unsynced = machine.disk.unsynced[1:]
+	machine.disk.apply(write)
+	if losesPower {
+		machine.disk.onPowerLoss()
 		return
 	}
-	one.disk.synced = write.Number
-	if len(one.disk.handed) > 0 {
-		w.syncAt(w.now+one.disk.delay, one)
+	machine.disk.synced = write.Number
+	if len(machine.disk.unsynced) > 0 {
+		w.syncAt(w.now+machine.disk.delay, machine)
 	}
-	w.giveDisk(one, Persisted{Write: write.Number})
+	w.deliverDiskInput(machine, Persisted{Write: write.Number})
 }
 
-// giveDisk tells the process what its disk has done, and lets go what waited for it.
-func (w *world) giveDisk(one *machine, input Input) {
-	if one.frozen {
-		one.waiting = append(one.waiting, input)
+// deliverDiskInput reports to the process what its disk has done.
+func (w *world) deliverDiskInput(machine *machine, input Input) {
+	if machine.isFrozen {
+		machine.pendingInputs = append(machine.pendingInputs, input)
 		return
 	}
-	w.step(one, input)
+	w.step(machine, input)
 }
 
-func (w *world) step(one *machine, input Input) {
-	if one.node == nil {
+func (w *world) step(machine *machine, input Input) {
+	if machine.node == nil {
 		return
 	}
-	life := one.life
-	effects := one.node.Step(w.now, input)
-	if life != one.life {
+	generation := machine.generation
+	effects := machine.node.Step(w.now, input)
+	if generation != machine.generation {
 		return
 	}
-	begin := len(one.disk.handed) == 0
-	one.disk.handed = append(one.disk.handed, effects.Writes...)
-	if begin && len(effects.Writes) > 0 {
-		w.syncAt(max(w.now, one.disk.busyUntil)+one.disk.delay, one)
+	wasIdle := len(machine.disk.unsynced) == 0
+	machine.disk.unsynced = append(machine.disk.unsynced, effects.Writes...)
+	if wasIdle && len(effects.Writes) > 0 {
+		w.syncAt(max(w.now, machine.disk.busyUntil)+machine.disk.delay, machine)
 	}
-	one.held = append(one.held, effects.Send...)
-	w.letGo(one)
+	machine.heldMessages = append(machine.heldMessages, effects.Send...)
+	w.sendReady(machine)
 	for _, event := range effects.Events {
-		one.events = append(one.events, event)
+		machine.events = append(machine.events, event)
 		if w.trace != nil {
-			w.trace(fmt.Sprintf("%8s %s %s: %s", w.now.Round(time.Millisecond), one.incarnation, event.What, event.Text))
+			w.trace(fmt.Sprintf("%8s %s %s: %s", w.now.Round(time.Millisecond), machine.incarnation, event.What, event.Text))
 		}
 	}
 	for _, decision := range effects.Decisions {
-		w.judge.decided(w, one, decision)
+		w.checker.decided(w, machine, decision)
 	}
-	if one.stopping && one.node.HasLeft() {
-		w.kill(one)
-		if one.comesBack {
-			w.schedule(time.Second, func() { w.start(one) })
+	if machine.isLeaving && machine.node.HasLeft() {
+		w.kill(machine)
+		if machine.comesBack {
+			w.schedule(time.Second, func() { w.start(machine) })
 		} else {
-			one.gone = true
+			machine.isGone = true
 		}
 	}
 }
 
-// letGo sends what need not wait for the disk any more. A frozen process sends nothing.
-func (w *world) letGo(one *machine) {
-	if len(one.held) == 0 {
+// sendReady sends the messages that no longer wait for the disk.
+func (w *world) sendReady(machine *machine) {
+	if len(machine.heldMessages) == 0 {
 		return
 	}
-	kept := one.held[:0:0]
-	for _, envelope := range one.held {
-		if envelope.After > one.disk.synced {
+	kept := machine.heldMessages[:0:0]
+	for _, envelope := range machine.heldMessages {
+		if envelope.After > machine.disk.synced {
 			kept = append(kept, envelope)
 			continue
 		}
-		w.transmit(one, envelope)
+		w.transmit(machine, envelope)
 	}
-	one.held = kept
+	machine.heldMessages = kept
 }
 
-func (w *world) transmit(one *machine, envelope Envelope) {
+func (w *world) transmit(machine *machine, envelope Envelope) {
 	w.messages++
 	if w.bytes != nil {
 		w.sentBytes += w.bytes(envelope.Message)
 	}
 	to := w.byAddress[envelope.To]
-	if to == nil || w.cut[link{one.name, to.name}] || w.chance(w.loss) {
+	if to == nil || w.cutLinks[link{machine.name, to.name}] || w.chance(w.loss) {
 		return
 	}
 	copies := 1
-	if w.chance(w.doubled) {
+	if w.chance(w.duplicated) {
 		copies = 2
 	}
 	for ; copies > 0; copies-- {
 		delay := time.Millisecond + time.Duration(w.random.Int63n(int64(2*time.Millisecond)))
-		if w.chance(w.late) {
+		if w.chance(w.delayed) {
 			delay += time.Duration(w.random.Int63n(int64(3 * time.Second)))
 		}
-		w.schedule(delay, func() { w.deliver(one, envelope) })
+		w.schedule(delay, func() { w.deliver(machine, envelope) })
 	}
 }
 
 func (w *world) chance(share float64) bool { return share > 0 && w.random.Float64() < share }
 
-// ask lets the client order and question whoever takes itself for primary, also from a frozen one's point of view.
-func (w *world) ask() {
-	w.schedule(askPause, w.ask)
-	if !w.client {
+// runClient lets the client send an order and a confirmation to every machine that takes itself for the primary.
+func (w *world) runClient() {
+	w.schedule(clientInterval, w.runClient)
+	if !w.clientActive {
 		return
 	}
-	for _, one := range w.machines {
-		if one.node == nil || one.frozen || one.node.Role() != Primary {
+	for _, machine := range w.machines {
+		if machine.node == nil || machine.isFrozen || machine.node.Role() != Primary {
 			continue
 		}
-		w.question(one)
-		if one.node != nil && one.node.MayPropose() {
-			w.place(one)
+		w.confirm(machine)
+		if machine.node != nil && machine.node.MayPropose() {
+			w.propose(machine)
 		}
 	}
 }
 
-func (w *world) question(one *machine) {
+func (w *world) confirm(machine *machine) {
 	w.requests++
-	w.judge.asked(w, w.requests)
-	w.step(one, Confirm{Request: w.requests})
+	w.checker.asked(w, w.requests)
+	w.step(machine, Confirm{Request: w.requests})
 }
 
-func (w *world) place(one *machine) {
+func (w *world) propose(machine *machine) {
 	w.requests++
-	w.judge.ordered(w.requests)
-	key := w.judge.keys[w.requests]
-	w.step(one, Propose{Request: w.requests, Mutations: []Mutation{
+	w.checker.ordered(w.requests)
+	key := w.checker.keys[w.requests]
+	w.step(machine, Propose{Request: w.requests, Mutations: []Mutation{
 		{Key: key, Value: make([]byte, max(w.orderBytes, 1))},
 		{Key: "newest", Value: []byte(key)},
 	}})
 }
 
-// Trouble.
+// Faults.
 
-func (w *world) isolate(one *machine) {
+func (w *world) isolate(machine *machine) {
 	for _, other := range w.machines {
-		if other != one {
-			w.cut[link{one.name, other.name}] = true
-			w.cut[link{other.name, one.name}] = true
+		if other != machine {
+			w.cutLinks[link{machine.name, other.name}] = true
+			w.cutLinks[link{other.name, machine.name}] = true
 		}
 	}
 }
 
-func (w *world) deafen(one *machine) {
+func (w *world) cutInbound(machine *machine) {
 	for _, other := range w.machines {
-		w.cut[link{other.name, one.name}] = other != one
+		w.cutLinks[link{other.name, machine.name}] = other != machine
 	}
 }
 
-func (w *world) silence(one *machine) {
+func (w *world) cutOutbound(machine *machine) {
 	for _, other := range w.machines {
-		w.cut[link{one.name, other.name}] = other != one
+		w.cutLinks[link{machine.name, other.name}] = other != machine
 	}
 }
 
 func (w *world) heal() {
-	clear(w.cut)
-	w.loss, w.doubled, w.late = 0, 0, 0
-	for _, one := range w.machines {
-		w.thaw(one)
-		one.disk.delay = time.Millisecond
-		one.disk.refuses = false
-		one.disk.busyUntil = min(one.disk.busyUntil, w.now)
-		if !one.gone && one.node == nil {
-			w.start(one)
+	clear(w.cutLinks)
+	w.loss, w.duplicated, w.delayed = 0, 0, 0
+	for _, machine := range w.machines {
+		w.thaw(machine)
+		machine.disk.delay = time.Millisecond
+		machine.disk.refuses = false
+		machine.disk.busyUntil = min(machine.disk.busyUntil, w.now)
+		if !machine.isGone && machine.node == nil {
+			w.start(machine)
 		}
 	}
 }
 
-func (w *world) leave(one *machine, comesBack bool) {
-	if one.node == nil || one.stopping {
+func (w *world) leave(machine *machine, comesBack bool) {
+	if machine.node == nil || machine.isLeaving {
 		return
 	}
-	one.stopping = true
-	one.comesBack = comesBack
-	w.give(one, Leave{})
+	machine.isLeaving = true
+	machine.comesBack = comesBack
+	w.deliverInput(machine, Leave{})
 }
 
-// primary is the machine that takes itself for primary with the highest epoch.
+// primary returns the machine that takes itself for the primary with the highest epoch, or nil.
 func (w *world) primary() *machine {
 	var found *machine
-	for _, one := range w.machines {
-		if one.node == nil || one.node.Role() != Primary {
+	for _, machine := range w.machines {
+		if machine.node == nil || machine.node.Role() != Primary {
 			continue
 		}
-		if found == nil || found.node.Epoch() < one.node.Epoch() {
-			found = one
+		if found == nil || found.node.Epoch() < machine.node.Epoch() {
+			found = machine
 		}
 	}
 	return found
 }
 
-// judge keeps what was promised to callers.
-type judge struct {
-	kept      []uint64          // orders that were acknowledged
-	keys      map[uint64]string // of all orders
-	places    map[uint64]uint64 // sequence to the order committed there
-	questions map[uint64]int    // question or order to how many orders had been acknowledged before it came
-	isOrder   map[uint64]bool
-	broken    string
-	done      int
-	confirmed int
+// checker records what was acknowledged to the client, and the first violation.
+type checker struct {
+	acknowledged       []uint64          // orders in the sequence of their acknowledgements
+	keys               map[uint64]string // of all orders, by request
+	orderAt            map[uint64]uint64 // by sequence of the stamp: the order committed there
+	acknowledgedBefore map[uint64]int    // by request: how many orders had been acknowledged before it was made
+	isOrder            map[uint64]bool
+	violation          string
+	ordersDone         int
+	confirmsDone       int
 }
 
-func newJudge() judge {
-	return judge{places: map[uint64]uint64{}, questions: map[uint64]int{}, isOrder: map[uint64]bool{}, keys: map[uint64]string{}}
+func newChecker() checker {
+	return checker{orderAt: map[uint64]uint64{}, acknowledgedBefore: map[uint64]int{}, isOrder: map[uint64]bool{}, keys: map[uint64]string{}}
 }
 
-func (j *judge) asked(w *world, request uint64) { j.questions[request] = len(j.kept) }
+func (c *checker) asked(w *world, request uint64) {
+	c.acknowledgedBefore[request] = len(c.acknowledged)
+}
 
-func (j *judge) ordered(request uint64) {
-	j.isOrder[request] = true
-	j.keys[request] = fmt.Sprintf("order/%06d", request)
-	j.questions[request] = len(j.kept)
+func (c *checker) ordered(request uint64) {
+	c.isOrder[request] = true
+	c.keys[request] = fmt.Sprintf("order/%06d", request)
+	c.acknowledgedBefore[request] = len(c.acknowledged)
 }
 
-func (j *judge) fail(w *world, format string, arguments ...any) {
-	if j.broken == "" {
-		j.broken = fmt.Sprintf("at %s: ", w.now) + fmt.Sprintf(format, arguments...)
+func (c *checker) fail(w *world, format string, args ...any) {
+	if c.violation == "" {
+		c.violation = fmt.Sprintf("at %s: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (j *judge) decided(w *world, one *machine, decision Decision) {
+func (c *checker) decided(w *world, machine *machine, decision Decision) {
 	if decision.Outcome != Done {
 		return
 	}
-	if j.isOrder[decision.Request] {
-		j.orderDone(w, one, decision.Request)
+	if c.isOrder[decision.Request] {
+		c.orderDone(w, machine, decision.Request)
 		return
 	}
-	j.confirmed++
-	for _, order := range j.kept[:j.questions[decision.Request]] {
-		if !w.judge.holds(one.node, order) {
-			j.fail(w, "%s confirmed itself without order %d, acknowledged before it was asked", one.name, order)
+	c.confirmsDone++
+	for _, order := range c.acknowledged[:c.acknowledgedBefore[decision.Request]] {
+		if !w.checker.holds(machine.node, order) {
+			c.fail(w, "%s confirmed itself without order %d, acknowledged before it was asked", machine.name, order)
 			return
 		}
 	}
 }
 
-func (j *judge) orderDone(w *world, one *machine, order uint64) {
-	j.done++
-	place := one.node.Stamp().Sequence
-	if other, taken := j.places[place]; taken && other != order {
-		j.fail(w, "orders %d and %d are both committed at place %d", other, order, place)
+func (c *checker) orderDone(w *world, machine *machine, order uint64) {
+	c.ordersDone++
+	sequence := machine.node.Stamp().Sequence
+	if other, taken := c.orderAt[sequence]; taken && other != order {
+		c.fail(w, "orders %d and %d are both committed with sequence %d", other, order, sequence)
 	}
-	j.places[place] = order
-	for _, earlier := range j.kept[:j.questions[order]] {
-		if !w.judge.holds(one.node, earlier) {
-			j.fail(w, "%s acknowledged order %d on a state without order %d, acknowledged before it came", one.name, order, earlier)
+	c.orderAt[sequence] = order
+	for _, earlier := range c.acknowledged[:c.acknowledgedBefore[order]] {
+		if !w.checker.holds(machine.node, earlier) {
+			c.fail(w, "%s acknowledged order %d on a state without order %d, acknowledged before it came", machine.name, order, earlier)
 			return
 		}
 	}
 	for _, other := range w.machines {
-		if other == one || other.node == nil || other.node.Role() != Primary || other.node.Epoch() <= one.node.Epoch() {
+		if other == machine || other.node == nil || other.node.Role() != Primary || other.node.Epoch() <= machine.node.Epoch() {
 			continue
 		}
-		if !w.judge.holds(other.node, order) {
-			j.fail(w, "%s acknowledged order %d while %s leads a later epoch without it", one.name, order, other.name)
+		if !w.checker.holds(other.node, order) {
+			c.fail(w, "%s acknowledged order %d while %s leads a later epoch without it", machine.name, order, other.name)
 			return
 		}
 	}
 	copies := 0
 	for _, other := range w.machines {
-		if _, found := other.disk.durable.Entries[j.keys[order]]; found {
+		if _, found := other.disk.durable.Entries[c.keys[order]]; found {
 			copies++
 		}
 	}
-	for _, disk := range w.lost { // since it synced the order
-		if _, found := disk.Entries[j.keys[order]]; found {
+	for _, disk := range w.lostDisks { // lost since it synced the order
+		if _, found := disk.Entries[c.keys[order]]; found {
 			copies++
 		}
 	}
 	if copies < w.tolerance+1 {
-		j.fail(w, "order %d was acknowledged with %d copies on disk", order, copies)
+		c.fail(w, "order %d was acknowledged with %d copies on disk", order, copies)
 	}
-	j.kept = append(j.kept, order)
+	c.acknowledged = append(c.acknowledged, order)
 }
 
-func (j *judge) holds(node *Node, order uint64) bool {
-	_, found := node.Entry(j.keys[order])
+func (c *checker) holds(node *Node, order uint64) bool {
+	_, found := node.Entry(c.keys[order])
 	return found
 }
 
-// settle ends all trouble and demands a primary that takes orders and has everything within the limit.
+// settle ends all faults and requires that, within the limit, orders are acknowledged by a primary that has all earlier ones.
 func (w *world) settle(limit time.Duration) {
-	if w.judge.broken != "" {
+	if w.checker.violation != "" {
 		return
 	}
 	w.heal()
-	begin := w.now
-	before := w.judge.done
-	for w.now-begin < limit && w.judge.done < before+2 && w.judge.broken == "" {
+	startedAt := w.now
+	before := w.checker.ordersDone
+	for w.now-startedAt < limit && w.checker.ordersDone < before+2 && w.checker.violation == "" {
 		w.run(50 * time.Millisecond)
 	}
-	if w.judge.broken != "" {
+	if w.checker.violation != "" {
 		return
 	}
-	if w.judge.done < before+2 {
-		w.judge.fail(w, "no order was acknowledged within %s after the trouble: %s", limit, w.describe())
+	if w.checker.ordersDone < before+2 {
+		w.checker.fail(w, "no two orders were acknowledged within %s after the faults ended: %s", limit, w.describe())
 		return
 	}
 	w.check()
 }
 
-// check looks for every acknowledged order at the primary, if there is one.
+// check looks for every acknowledged order in the state of the primary, if there is one.
 func (w *world) check() {
-	leads := w.primary()
-	if leads == nil {
+	primary := w.primary()
+	if primary == nil {
 		return
 	}
-	for _, order := range w.judge.kept {
-		if !w.judge.holds(leads.node, order) {
-			w.judge.fail(w, "order %d is lost", order)
+	for _, order := range w.checker.acknowledged {
+		if !w.checker.holds(primary.node, order) {
+			w.checker.fail(w, "order %d is lost", order)
 			return
 		}
 	}
@@ -635,13 +638,13 @@
 
 func (w *world) describe() string {
 	text := ""
-	for _, one := range w.machines {
-		if one.node == nil {
-			text += fmt.Sprintf(" [%s ended]", one.incarnation)
+	for _, machine := range w.machines {
+		if machine.node == nil {
+			text += fmt.Sprintf(" [%s ended]", machine.incarnation)
 			continue
 		}
-		node := one.node
-		text += fmt.Sprintf(" [%s role %d promised %d accepted %s known %s voters %d copies %v stamp %s disk %s]", one.incarnation,
+		node := machine.node
+		text += fmt.Sprintf(" [%s role %d promised %d accepted %s known %s voters %d copies %v stamp %s disk %s]", machine.incarnation,
 			node.Role(), node.record.Promised, node.record.Accepted.ID, node.known.ID, len(node.known.Voters),
 			node.known.Copies, node.history.stamp, node.disk.stamp)
 	}
@@ -649,5 +652,5 @@
 }
 
 func (w *world) running() []*machine {
-	return slices.DeleteFunc(slices.Clone(w.machines), func(one *machine) bool { return one.gone })
+	return slices.DeleteFunc(slices.Clone(w.machines), func(machine *machine) bool { return machine.isGone })
 }
