--- a/control/quota/message.go
+++ b/control/quota/message.go
@@ -5,16 +5,16 @@
 // Want asks for operations of a tenant.
 type Want struct {
 	Tenant     string
-	Operations int // that wait
+	Operations int // that wait for a grant
 	Held       int // in the gateway's reserve
-	Reserve    int // that the gateway would like to hold in reserve, with those that it holds
+	Reserve    int // that the gateway wants to hold in reserve, those that it holds already included
 }
 
-// Request is a gateway's question for operations. At most one is under way for a gateway.
+// Request is a gateway's request for operations. A gateway has at most one pending.
 type Request struct {
-	Gateway string // a word for the gateway's process, which no other has; "": nothing is held in reserve
+	Gateway string // a name of the gateway's process that no other process has; "": the gateway holds no reserve
 	Number  uint64 // counted by the gateway's process
-	Bank    uint64 // the bank that answered last, once it was open; 0: none
+	Bank    uint64 // the allocator that answered last, once it was open; 0: none
 	Wants   []Want
 }
 
@@ -22,17 +22,17 @@
 type Grant struct {
 	Tenant     string
 	Operations int           // for those that wait; not more than were wanted
-	Life       time.Duration // within which they may be begun, counted from the sending of the request
-	RetryAfter time.Duration // if fewer were granted than wanted: when it may be worth asking again
+	Life       time.Duration // within which they may begin, counted from the sending of the request
+	RetryAfter time.Duration // if fewer were granted than wanted: how long to wait before asking again
 
-	Keep        int           // of the reserve: what is beyond must be dropped
-	Reserved    int           // are added to it
-	ReserveLife time.Duration // within which all of it may be begun, counted from the sending of the request; 0: as before
+	Keep        int           // how much of its reserve the gateway may keep: it must drop the rest
+	Reserved    int           // operations that are added to the reserve
+	ReserveLife time.Duration // within which all of the reserve may be used, counted from the sending of the request; 0: its end is unchanged
 }
 
 // Answer answers a Request.
 type Answer struct {
 	Number uint64 // of the request
-	Bank   uint64 // which bank this is; 0: it isn't open yet
+	Bank   uint64 // the number of this allocator; 0: it isn't open yet
 	Grants []Grant
 }
--- a/control/quota/reserve_search_test.go
+++ b/control/quota/reserve_search_test.go
@@ -7,175 +7,181 @@
 	"time"
 )
 
-// The reserve search plays all histories of a small world as search does, for reserves: two gateways, one tenant whose bucket is always full
-// and two terms of primaries. Gateways ask for a reserve at any moment. Steady clocks are alike: the bank's margin for them is left out.
+// The reserve search explores all histories of a small model as search does, but for reserves: two gateways, one tenant whose bucket is
+// always full, and two terms of primaries. Gateways may ask for a reserve at any time. All clocks are exact, so the margin for clocks is
+// removed.
 
 const (
-	reserveTicks = 2 // a reserve's life
+	reserveTicks = 2 // ticks, of a reserve's life
 	reserveUnit  = reserveLife / reserveTicks
 	fullBucket   = 100
 )
 
-// happens is what may happen once in a history, beside what messages do, and how long the history is.
-type happens struct {
-	takeOver               int // the tick in which another primary follows; 0: none does
-	fresh                  int // ticks for which the deposed one may grant
-	restart, forget, lower bool
-	doubled                bool // requests may come again
-	split                  bool // the second gateway reaches the first primary only
-	end                    int  // ticks
+// scenario says what may happen once in a history, besides the transport of messages, and how long the history is.
+type scenario struct {
+	takeOverAt     int  // the tick in which another primary takes over; 0: none does
+	deposedGrants  int  // ticks for which the deposed primary may still grant
+	mayRestart     bool // a gateway
+	mayReadd       bool // the tenant may be removed and added again
+	mayChangeLimit bool // the limit may be lowered and raised again
+	mayDuplicate   bool // requests may arrive again
+	isPartitioned  bool // the second gateway reaches the first primary only
+	lastTick       int
 }
 
 const (
-	unheardForgotten without = "what earlier banks lent"
-	adoptsAtOnce     without = "adoption only with the second request"
-	numberless       without = "the number of requests"
-	reserveLate      without = "counting the end of a reserve from the asking"
-	addedUncounted   without = "the count of what was added"
-	saidUncounted    without = "the count of what was said to be held"
-	othersUncounted  without = "the room of all others"
-	renewsWhatIsOver without = "the end of a reserve that is renewed"
-	keepsAll         without = "the room of what is kept"
-	reserveOpens     without = "the opening time of a later bank"
-	reserveDeposed   without = "the fresh confirmation of a primary"
-	comesBackFree    without = "what was lent before a tenant came back"
-	comesBackHeard   without = "no adoption for a tenant that came back"
-	raisedUncounted  without = "what was lent by a higher limit"
-	reserveTwice     without = "one booking of an answer"
+	guardUnreportedReserves      guard = "what earlier allocators granted in reserve"
+	guardReportOnSecondRequest   guard = "taking over a report only with the second request"
+	guardRequestNumbers          guard = "the number of requests"
+	guardReserveLifeFromRequest  guard = "counting the end of a reserve from the request"
+	guardCountAdded              guard = "the count of what was added"
+	guardCountReported           guard = "the count of what was reported as held"
+	guardCountOthers             guard = "the room of all others"
+	guardNoRenewalOfEnded        guard = "the end of a reserve that is renewed"
+	guardKeptWithinLimit         guard = "the room of what is kept"
+	guardReserveDelayedOpening   guard = "the opening time of a later allocator"
+	guardReserveConfirmedPrimary guard = "the fresh confirmation of a primary"
+	guardReaddedUnreported       guard = "what was granted in reserve before a tenant was added again"
+	guardReaddedIgnoresReports   guard = "ignoring reports for a tenant that was added again"
+	guardRaisedLimit             guard = "what was granted in reserve under a higher limit"
+	guardReserveSingleDelivery   guard = "one delivery of an answer"
 )
 
-// reserveGuards tells what has to happen for a guard to be missed.
-var reserveGuards = map[without]happens{
-	unheardForgotten: {takeOver: 1, fresh: 1, end: 3},
-	adoptsAtOnce:     {takeOver: 1, fresh: 2, split: true, end: 3},
-	numberless:       {doubled: true, end: 4},
-	reserveLate:      {end: 4},
-	addedUncounted:   {end: 4},
-	saidUncounted:    {lower: true, end: 2},
-	othersUncounted:  {end: 4},
-	renewsWhatIsOver: {end: 4},
-	keepsAll:         {lower: true, end: 2},
-	reserveOpens:     {takeOver: 1, fresh: 2, split: true, end: 2},
-	reserveDeposed:   {takeOver: 1, fresh: 0, split: true, end: 2},
-	comesBackFree:    {forget: true, end: 2},
-	comesBackHeard:   {forget: true, end: 2},
-	raisedUncounted:  {takeOver: 1, fresh: 1, lower: true, split: true, end: 2},
-	reserveTwice:     {end: 4},
-}
-
-// reserveGateway is a gateway's process, and its messages.
+// reserveGuards gives for each guard a scenario in which its absence shows.
+var reserveGuards = map[guard]scenario{
+	guardUnreportedReserves:      {takeOverAt: 1, deposedGrants: 1, lastTick: 3},
+	guardReportOnSecondRequest:   {takeOverAt: 1, deposedGrants: 2, isPartitioned: true, lastTick: 3},
+	guardRequestNumbers:          {mayDuplicate: true, lastTick: 4},
+	guardReserveLifeFromRequest:  {lastTick: 4},
+	guardCountAdded:              {lastTick: 4},
+	guardCountReported:           {mayChangeLimit: true, lastTick: 2},
+	guardCountOthers:             {lastTick: 4},
+	guardNoRenewalOfEnded:        {lastTick: 4},
+	guardKeptWithinLimit:         {mayChangeLimit: true, lastTick: 2},
+	guardReserveDelayedOpening:   {takeOverAt: 1, deposedGrants: 2, isPartitioned: true, lastTick: 2},
+	guardReserveConfirmedPrimary: {takeOverAt: 1, deposedGrants: 0, isPartitioned: true, lastTick: 2},
+	guardReaddedUnreported:       {mayReadd: true, lastTick: 2},
+	guardReaddedIgnoresReports:   {mayReadd: true, lastTick: 2},
+	guardRaisedLimit:             {takeOverAt: 1, deposedGrants: 1, mayChangeLimit: true, isPartitioned: true, lastTick: 2},
+	guardReserveSingleDelivery:   {lastTick: 4},
+}
+
+// reserveGateway is the process of a gateway, and its messages in transit.
 type reserveGateway struct {
 	name     string
-	purse    Budget
+	budget   Budget
 	account  account
-	requests []Request // on their way
-	answer   *Answer   // to the last one, on its way
+	requests []Request // in transit
+	answer   *Answer   // to the last request, in transit
 }
 
-// reserveMoment is one moment of a history.
-type reserveMoment struct {
-	tick     int
-	gateways [2]reserveGateway
-	banks    []*Allocator // by term
-	reserve  int          // that the limit allows
-	deposed  int          // the tick in which the second term began; 0: it hasn't
-	most     int          // before it was lowered
-	lowered  int          // the tick in which it was lowered
-	excess   int          // the most, over all windows that end now, by which more was begun than was lent in the window; counted if nothing else happens
-	left     happens
-	lacks    without
+// reserveState is one state of a history.
+type reserveState struct {
+	tick           int
+	gateways       [2]reserveGateway
+	allocators     []*Allocator // by term
+	maxReserve     int          // that the limit allows
+	deposedAt      int          // the tick in which the second term began; 0: it hasn't
+	initialReserve int          // maxReserve before the limit was lowered
+	loweredAt      int          // the tick in which the limit was lowered
+	// excess is the most, over all windows that end now, by which more operations began in the window than were granted in reserve in it.
+	// It is counted only in scenarios without a takeover, a tenant that is added again or a change of the limit.
+	excess    int
+	remaining scenario // events that may still happen
+	disabled  guard
 }
 
-func (m *reserveMoment) now() time.Duration { return time.Duration(m.tick) * reserveUnit }
+func (s *reserveState) now() time.Duration { return time.Duration(s.tick) * reserveUnit }
 
-func (m *reserveMoment) terms() terms {
-	return terms{capacity: fullBucket, reserve: m.reserve, life: GrantLife}
+func (s *reserveState) parameters() parameters {
+	return parameters{capacity: fullBucket, maxReserve: s.maxReserve, grantLife: GrantLife}
 }
 
-func (m *reserveMoment) newBank(id uint64, opensAt time.Duration) *Allocator {
-	bank := NewAllocator(id, opensAt, Rules{})
-	bank.pruneAt = time.Hour
-	bank.buckets["t"] = &bucket{terms: m.terms(), reserves: newReserves(opensAt, m.reserve, true)}
-	bank.buckets["t"].reserves.unheardUntil -= reserveMargin
-	return bank
+func (s *reserveState) newAllocator(id uint64, opensAt time.Duration) *Allocator {
+	allocator := NewAllocator(id, opensAt, Rules{})
+	allocator.pruneAt = time.Hour
+	allocator.buckets["t"] = &bucket{parameters: s.parameters(), reserves: newTenantReserves(opensAt, s.maxReserve, true)}
+	allocator.buckets["t"].reserves.unreportedUntil -= reserveMargin
+	return allocator
 }
 
-func newReserveMoment(most int, left happens, lacks without) *reserveMoment {
-	m := &reserveMoment{most: most, reserve: most, left: left, lacks: lacks}
-	m.banks = []*Allocator{m.newBank(1, 0)}
-	m.banks[0].buckets["t"].reserves.unheard = 0 // as after a long rest
-	for index := range m.gateways {
-		m.gateways[index] = reserveGateway{name: string(rune('a' + index)), purse: Budget{bank: 1}}
+func newReserveState(maxReserve int, remaining scenario, disabled guard) *reserveState {
+	s := &reserveState{initialReserve: maxReserve, maxReserve: maxReserve, remaining: remaining, disabled: disabled}
+	s.allocators = []*Allocator{s.newAllocator(1, 0)}
+	s.allocators[0].buckets["t"].reserves.unreported = 0 // as after a long idle time
+	for index := range s.gateways {
+		s.gateways[index] = reserveGateway{name: string(rune('a' + index)), budget: Budget{allocator: 1}}
 	}
-	return m
+	return s
 }
 
-// own gives a bank that may be changed, which moments share otherwise.
-func (m *reserveMoment) own(term int) *Allocator {
-	m.banks = slices.Clone(m.banks)
-	m.banks[term] = copiedBank(m.banks[term])
-	return m.banks[term]
+// mutableAllocator gives the state a copy of an allocator, which it may change: states share allocators otherwise.
+func (s *reserveState) mutableAllocator(term int) *Allocator {
+	s.allocators = slices.Clone(s.allocators)
+	s.allocators[term] = copyAllocator(s.allocators[term])
+	return s.allocators[term]
 }
 
-func copiedBank(bank *Allocator) *Allocator {
-	own, kept, lent := *bank, *bank.buckets["t"], *bank.buckets["t"].reserves
-	lent.byGateway = maps.Clone(lent.byGateway)
-	kept.reserves = &lent
-	own.buckets = map[string]*bucket{"t": &kept}
-	own.lastRequests = maps.Clone(own.lastRequests)
-	return &own
+func copyAllocator(allocator *Allocator) *Allocator {
+	copied, copiedBucket, reserves := *allocator, *allocator.buckets["t"], *allocator.buckets["t"].reserves
+	reserves.byGateway = maps.Clone(reserves.byGateway)
+	copiedBucket.reserves = &reserves
+	copied.buckets = map[string]*bucket{"t": &copiedBucket}
+	copied.lastRequests = maps.Clone(copied.lastRequests)
+	return &copied
 }
 
-// held is what all gateways may begin now.
-func (m *reserveMoment) held() int {
+// held is how many operations all gateways together may begin from their reserves now.
+func (s *reserveState) held() int {
 	sum := 0
-	for index := range m.gateways {
-		gateway := &m.gateways[index]
-		if m.now() < gateway.account.heldUntil {
+	for index := range s.gateways {
+		gateway := &s.gateways[index]
+		if s.now() < gateway.account.heldUntil {
 			sum += gateway.account.held
 		}
 	}
 	return sum
 }
 
-// isBroken tells whether in a window that ends now more may be begun than may be held at its start and is lent in it.
-func (m *reserveMoment) isBroken() bool {
-	isLow := m.reserve < m.most && m.tick >= m.lowered+reserveTicks
-	if isLow && m.held() > m.reserve {
+// isBroken tells whether in a window that ends now more operations may begin than may be held at its start and are granted in reserve in
+// it.
+func (s *reserveState) isBroken() bool {
+	isLow := s.maxReserve < s.initialReserve && s.tick >= s.loweredAt+reserveTicks
+	if isLow && s.held() > s.maxReserve {
 		return true
 	}
-	return m.excess+m.held() > m.most
+	return s.excess+s.held() > s.initialReserve
 }
 
-func (m *reserveMoment) count(begun, lent int) {
-	if m.left.takeOver == 0 && !m.left.forget && !m.left.lower {
-		m.excess = max(0, m.excess+begun-lent)
+func (s *reserveState) count(begun, reserved int) {
+	if s.remaining.takeOverAt == 0 && !s.remaining.mayReadd && !s.remaining.mayChangeLimit {
+		s.excess = max(0, s.excess+begun-reserved)
 	}
 }
 
-// following gives the moments that one thing more leads to.
-func (m *reserveMoment) following() []*reserveMoment {
-	var all []*reserveMoment
-	next := &reserveMoment{}
-	try := func(change func(next *reserveMoment) bool) {
-		if *next = *m; change(next) {
+// successors gives the states that one more event leads to.
+func (s *reserveState) successors() []*reserveState {
+	var all []*reserveState
+	next := &reserveState{}
+	try := func(change func(next *reserveState) bool) {
+		if *next = *s; change(next) {
 			all = append(all, next)
-			next = &reserveMoment{}
+			next = &reserveState{}
 		}
 	}
-	try((*reserveMoment).pass)
-	try((*reserveMoment).takeOver)
-	try((*reserveMoment).forgetTenant)
-	try((*reserveMoment).changeLimit)
-	for gateway := range m.gateways {
-		try(func(next *reserveMoment) bool { return next.restart(gateway) })
-		try(func(next *reserveMoment) bool { return next.take(gateway) })
-		try(func(next *reserveMoment) bool { return next.ask(gateway) })
-		try(func(next *reserveMoment) bool { return next.book(gateway) })
-		for index := range m.gateways[gateway].requests {
-			for term := range m.banks {
-				if m.grants(term) && m.reaches(gateway, term) && m.isNew(gateway, index, term) {
-					try(func(next *reserveMoment) bool { return next.decide(gateway, index, term) })
+	try((*reserveState).advanceTick)
+	try((*reserveState).startSecondTerm)
+	try((*reserveState).readdTenant)
+	try((*reserveState).changeLimit)
+	for gateway := range s.gateways {
+		try(func(next *reserveState) bool { return next.restart(gateway) })
+		try(func(next *reserveState) bool { return next.take(gateway) })
+		try(func(next *reserveState) bool { return next.ask(gateway) })
+		try(func(next *reserveState) bool { return next.deliverAnswer(gateway) })
+		for index := range s.gateways[gateway].requests {
+			for term := range s.allocators {
+				if s.mayGrant(term) && s.reaches(gateway, term) && s.isNew(gateway, index, term) {
+					try(func(next *reserveState) bool { return next.answerRequest(gateway, index, term) })
 				}
 			}
 		}
@@ -183,279 +189,280 @@
 	return all
 }
 
-func (m *reserveMoment) pass() bool {
-	m.tick++
-	for index := range m.gateways {
-		if m.lacks != renewsWhatIsOver {
-			m.gateways[index].account.dropEnded(m.now())
+func (s *reserveState) advanceTick() bool {
+	s.tick++
+	for index := range s.gateways {
+		if s.disabled != guardNoRenewalOfEnded {
+			s.gateways[index].account.dropExpired(s.now())
 		}
 	}
-	return m.tick <= m.left.end
+	return s.tick <= s.remaining.lastTick
 }
 
-func (m *reserveMoment) takeOver() bool {
-	if m.deposed > 0 || m.tick == 0 || m.tick != m.left.takeOver {
+func (s *reserveState) startSecondTerm() bool {
+	if s.deposedAt > 0 || s.tick == 0 || s.tick != s.remaining.takeOverAt {
 		return false
 	}
-	m.deposed = m.tick
-	if m.left.lower {
-		m.reserve, m.lowered = m.most-1, m.tick // a moment before
+	s.deposedAt = s.tick
+	if s.remaining.mayChangeLimit {
+		s.maxReserve, s.loweredAt = s.initialReserve-1, s.tick // just before the takeover
 	}
-	opensAt := m.now() + time.Duration(m.left.fresh)*reserveUnit
-	if m.lacks == reserveOpens {
-		opensAt = m.now()
+	opensAt := s.now() + time.Duration(s.remaining.deposedGrants)*reserveUnit
+	if s.disabled == guardReserveDelayedOpening {
+		opensAt = s.now()
 	}
-	second := m.newBank(2, opensAt)
-	if m.lacks == unheardForgotten {
-		second.buckets["t"].reserves.unheard = 0
+	second := s.newAllocator(2, opensAt)
+	if s.disabled == guardUnreportedReserves {
+		second.buckets["t"].reserves.unreported = 0
 	}
-	m.banks = append(slices.Clone(m.banks), second)
+	s.allocators = append(slices.Clone(s.allocators), second)
 	return true
 }
 
-// forgetTenant takes the tenant out of the configuration and brings it back.
-func (m *reserveMoment) forgetTenant() bool {
-	if !m.left.forget {
+// readdTenant removes the tenant from the configuration and adds it again.
+func (s *reserveState) readdTenant() bool {
+	if !s.remaining.mayReadd {
 		return false
 	}
-	m.left.forget = false
-	bank := m.own(len(m.banks) - 1)
-	bank.SetLimits(m.now(), nil)
-	bank.SetLimits(m.now(), []Limit{{Tenant: "t"}})
-	back := bank.buckets["t"]
-	back.terms = m.terms()
-	back.reserves.unheard = m.reserve
-	back.reserves.unheardUntil -= reserveMargin
-	if m.lacks == comesBackFree {
-		back.reserves.unheard = 0
-	}
-	back.reserves.hears = back.reserves.hears || m.lacks == comesBackHeard
+	s.remaining.mayReadd = false
+	allocator := s.mutableAllocator(len(s.allocators) - 1)
+	allocator.SetLimits(s.now(), nil)
+	allocator.SetLimits(s.now(), []Limit{{Tenant: "t"}})
+	added := allocator.buckets["t"]
+	added.parameters = s.parameters()
+	added.reserves.unreported = s.maxReserve
+	added.reserves.unreportedUntil -= reserveMargin
+	if s.disabled == guardReaddedUnreported {
+		added.reserves.unreported = 0
+	}
+	added.reserves.acceptsReports = added.reserves.acceptsReports || s.disabled == guardReaddedIgnoresReports
 	return true
 }
 
-// changeLimit lowers the limit, and raises it again; where another primary follows, it is lowered with the change.
-func (m *reserveMoment) changeLimit() bool {
-	if !m.left.lower || m.left.takeOver > 0 && m.deposed == 0 {
+// changeLimit lowers the limit, and raises it again when it is called next. Where another primary takes over, startSecondTerm lowers it.
+func (s *reserveState) changeLimit() bool {
+	if !s.remaining.mayChangeLimit || s.remaining.takeOverAt > 0 && s.deposedAt == 0 {
 		return false
 	}
-	before := m.reserve
-	m.reserve, m.lowered = m.most-1, m.tick
-	if before < m.most {
-		m.reserve, m.lowered, m.left.lower = m.most, 0, false
+	before := s.maxReserve
+	s.maxReserve, s.loweredAt = s.initialReserve-1, s.tick
+	if before < s.initialReserve {
+		s.maxReserve, s.loweredAt, s.remaining.mayChangeLimit = s.initialReserve, 0, false
 	}
-	bank := m.own(len(m.banks) - 1)
-	if m.lacks != raisedUncounted {
-		bank.buckets["t"].reserves.raise(m.reserve - before)
+	allocator := s.mutableAllocator(len(s.allocators) - 1)
+	if s.disabled != guardRaisedLimit {
+		allocator.buckets["t"].reserves.raiseUnreported(s.maxReserve - before)
 	}
-	bank.buckets["t"].terms = m.terms()
+	allocator.buckets["t"].parameters = s.parameters()
 	return true
 }
 
-// restart loses what a gateway holds. The bank goes on counting it.
-func (m *reserveMoment) restart(gateway int) bool {
-	if !m.left.restart || m.gateways[gateway].account.held == 0 {
+// restart drops what a gateway holds. The allocator goes on counting it.
+func (s *reserveState) restart(gateway int) bool {
+	if !s.remaining.mayRestart || s.gateways[gateway].account.held == 0 {
 		return false
 	}
-	m.left.restart = false
-	m.gateways[gateway] = reserveGateway{name: m.gateways[gateway].name + "'"}
+	s.remaining.mayRestart = false
+	s.gateways[gateway] = reserveGateway{name: s.gateways[gateway].name + "'"}
 	return true
 }
 
-func (m *reserveMoment) take(gateway int) bool {
-	if m.gateways[gateway].account.take(m.now()) != Taken {
+func (s *reserveState) take(gateway int) bool {
+	if s.gateways[gateway].account.take(s.now()) != Taken {
 		return false
 	}
-	m.count(1, 0)
+	s.count(1, 0)
 	return true
 }
 
-// ask sends a request, and gives up one that is under way. At most one that was given up is still on its way.
-func (m *reserveMoment) ask(gateway int) bool {
-	one := &m.gateways[gateway]
-	one.purse.asking, one.purse.askedAt = true, m.now()
-	one.purse.number++
-	one.answer = nil
-	one.requests = append(slices.Clone(one.requests), Request{
-		Gateway: one.name, Number: one.purse.number, Bank: one.purse.bank, Wants: []Want{{Tenant: "t", Held: one.account.held, Reserve: m.reserve}},
+// ask sends a request, and abandons one that is pending. At most one abandoned request stays in transit.
+func (s *reserveState) ask(gateway int) bool {
+	process := &s.gateways[gateway]
+	process.budget.isPending, process.budget.sentAt = true, s.now()
+	process.budget.number++
+	process.answer = nil
+	process.requests = append(slices.Clone(process.requests), Request{
+		Gateway: process.name, Number: process.budget.number, Bank: process.budget.allocator,
+		Wants: []Want{{Tenant: "t", Held: process.account.held, Reserve: s.maxReserve}},
 	})
 	kept := 2
-	if len(m.gateways[1-gateway].requests) == kept {
+	if len(s.gateways[1-gateway].requests) == kept {
 		kept = 1
 	}
-	one.requests = one.requests[max(0, len(one.requests)-kept):]
+	process.requests = process.requests[max(0, len(process.requests)-kept):]
 	return true
 }
 
-// grants tells whether the primary of a term may still answer.
-func (m *reserveMoment) grants(term int) bool {
-	isDeposed := m.deposed > 0 && term == 0
-	return !isDeposed || m.tick < m.deposed+m.left.fresh || m.lacks == reserveDeposed
+// mayGrant tells whether the primary of a term may still answer.
+func (s *reserveState) mayGrant(term int) bool {
+	isDeposed := s.deposedAt > 0 && term == 0
+	return !isDeposed || s.tick < s.deposedAt+s.remaining.deposedGrants || s.disabled == guardReserveConfirmedPrimary
 }
 
-func (m *reserveMoment) reaches(gateway, term int) bool {
-	return !m.left.split || gateway == 0 || term == 0
+func (s *reserveState) reaches(gateway, term int) bool {
+	return !s.remaining.isPartitioned || gateway == 0 || term == 0
 }
 
-// isNew tells whether a bank answers a request.
-func (m *reserveMoment) isNew(gateway, index, term int) bool {
-	one := &m.gateways[gateway]
-	return one.requests[index].Number > m.banks[term].lastRequests[one.name].number || m.lacks == numberless
+// isNew tells whether the allocator of a term has seen no newer request of the gateway, nor this one, and so may grant something.
+func (s *reserveState) isNew(gateway, index, term int) bool {
+	process := &s.gateways[gateway]
+	return process.requests[index].Number > s.allocators[term].lastRequests[process.name].number || s.disabled == guardRequestNumbers
 }
 
-// decide has a primary answer a request.
-func (m *reserveMoment) decide(gateway, index, term int) bool {
-	one, bank := &m.gateways[gateway], m.own(term)
-	kept := bank.buckets["t"]
-	request := one.requests[index]
-	if m.lacks == adoptsAtOnce && m.now() >= bank.opensAt {
-		request.Bank = bank.id
+// answerRequest has the primary of a term answer a request.
+func (s *reserveState) answerRequest(gateway, index, term int) bool {
+	process, allocator := &s.gateways[gateway], s.mutableAllocator(term)
+	bucket := allocator.buckets["t"]
+	request := process.requests[index]
+	if s.disabled == guardReportOnSecondRequest && s.now() >= allocator.opensAt {
+		request.Bank = allocator.id
 	}
-	if m.lacks == numberless {
-		clear(bank.lastRequests)
+	if s.disabled == guardRequestNumbers {
+		clear(allocator.lastRequests)
 	}
-	if m.lacks == othersUncounted {
-		maps.DeleteFunc(kept.reserves.byGateway, func(name string, _ reserve) bool { return name != one.name })
+	if s.disabled == guardCountOthers {
+		maps.DeleteFunc(bucket.reserves.byGateway, func(name string, _ gatewayReserve) bool { return name != process.name })
 	}
-	kept.level = fullBucket
-	answer := bank.Answer(m.now(), request)
+	bucket.level = fullBucket
+	answer := allocator.Answer(s.now(), request)
 	if len(answer.Grants) == 0 {
 		return false
 	}
-	kept.level, bank.counts = fullBucket, Counts{}
+	bucket.level, allocator.counts = fullBucket, Counts{}
 	grant, held := &answer.Grants[0], request.Wants[0].Held
-	m.count(0, grant.Reserved)
-	if m.lacks == keepsAll || m.lacks == renewsWhatIsOver {
+	s.count(0, grant.Reserved)
+	if s.disabled == guardKeptWithinLimit || s.disabled == guardNoRenewalOfEnded {
 		grant.Keep = held
 	}
 	if grant.ReserveLife > 0 {
-		m.countReserve(kept.reserves, one.name, held, grant)
+		s.countReserve(bucket.reserves, process.name, held, grant)
 	}
-	if one.purse.asking && one.purse.number == request.Number {
-		one.answer = &answer
+	if process.budget.isPending && process.budget.number == request.Number {
+		process.answer = &answer
 	}
-	if !m.left.doubled {
-		one.requests = slices.Delete(slices.Clone(one.requests), index, index+1)
+	if !s.remaining.mayDuplicate {
+		process.requests = slices.Delete(slices.Clone(process.requests), index, index+1)
 	}
 	return true
 }
 
-// countReserve has the bank count without its margin for clocks, and without a guard.
-func (m *reserveMoment) countReserve(lent *reserves, name string, held int, grant *Grant) {
-	counted := lent.byGateway[name]
+// countReserve corrects what the allocator counts: it removes the margin for clocks, and the effect of the guard that is disabled.
+func (s *reserveState) countReserve(reserves *tenantReserves, name string, held int, grant *Grant) {
+	counted := reserves.byGateway[name]
 	counted.until -= reserveMargin
-	switch m.lacks {
-	case addedUncounted:
+	switch s.disabled {
+	case guardCountAdded:
 		counted.operations = held
-	case saidUncounted:
+	case guardCountReported:
 		counted.operations = grant.Keep + grant.Reserved
 	}
-	lent.byGateway[name] = counted
+	reserves.byGateway[name] = counted
 }
 
-func (m *reserveMoment) book(gateway int) bool {
-	one := &m.gateways[gateway]
-	if one.answer == nil {
+func (s *reserveState) deliverAnswer(gateway int) bool {
+	process := &s.gateways[gateway]
+	if process.answer == nil {
 		return false
 	}
-	if m.lacks == reserveTwice {
-		one.purse.asking = true
+	if s.disabled == guardReserveSingleDelivery {
+		process.budget.isPending = true
 	}
-	if m.lacks == reserveLate {
-		one.purse.askedAt = m.now()
+	if s.disabled == guardReserveLifeFromRequest {
+		process.budget.sentAt = s.now()
 	}
-	if m.lacks == renewsWhatIsOver {
-		one.account.heldUntil = m.now() + reserveLife
+	if s.disabled == guardNoRenewalOfEnded {
+		process.account.heldUntil = s.now() + reserveLife
 	}
-	answer := *one.answer
-	held := one.account
-	one.purse.accounts = map[string]*account{"t": &held}
-	one.purse.ApplyAnswer(m.now(), answer)
-	one.purse.accounts = nil
-	if m.lacks != reserveTwice {
-		one.answer = nil
+	answer := *process.answer
+	held := process.account
+	process.budget.accounts = map[string]*account{"t": &held}
+	process.budget.ApplyAnswer(s.now(), answer)
+	process.budget.accounts = nil
+	if s.disabled != guardReserveSingleDelivery {
+		process.answer = nil
 	}
-	one.account = held
+	process.account = held
 	return true
 }
 
-// key tells moments apart from which the same may follow. Times are told as of now; the gateways' order doesn't matter.
-func (m *reserveMoment) key() string {
-	text := []byte{byte(m.tick), byte(m.deposed), byte(m.reserve), byte(m.lowered), byte(m.excess),
-		mark(m.left.restart), mark(m.left.forget), mark(m.left.lower)}
-	for term, bank := range m.banks {
-		if lent := bank.buckets["t"].reserves; m.grants(term) {
-			text = append(text, '#', mark(lent.hears), m.untilNow(lent.unheardUntil))
-			if m.now() < lent.unheardUntil {
-				text = append(text, byte(lent.unheard))
+// key is equal for states that have the same successors. Times are relative to now; the order of the gateways doesn't matter.
+func (s *reserveState) key() string {
+	text := []byte{byte(s.tick), byte(s.deposedAt), byte(s.maxReserve), byte(s.loweredAt), byte(s.excess),
+		flagByte(s.remaining.mayRestart), flagByte(s.remaining.mayReadd), flagByte(s.remaining.mayChangeLimit)}
+	for term, allocator := range s.allocators {
+		if reserves := allocator.buckets["t"].reserves; s.mayGrant(term) {
+			text = append(text, '#', flagByte(reserves.acceptsReports), s.ticksUntil(reserves.unreportedUntil))
+			if s.now() < reserves.unreportedUntil {
+				text = append(text, byte(reserves.unreported))
 			}
-			text = append(text, m.ghosts(lent)...)
+			text = append(text, s.stoppedProcesses(reserves)...)
 		}
 	}
-	first, second := m.gatewayKey(0), m.gatewayKey(1)
-	if m.left.split {
+	first, second := s.gatewayKey(0), s.gatewayKey(1)
+	if s.remaining.isPartitioned {
 		return string(text) + "|" + first + "|" + second
 	}
 	return string(text) + "|" + min(first, second) + "|" + max(first, second)
 }
 
-func (m *reserveMoment) untilNow(end time.Duration) byte {
-	return byte(max(0, end-m.now()) / reserveUnit)
+func (s *reserveState) ticksUntil(end time.Duration) byte {
+	return byte(max(0, end-s.now()) / reserveUnit)
 }
 
-// ghosts is what is counted for processes that have ended: at most one has.
-func (m *reserveMoment) ghosts(lent *reserves) []byte {
-	for name, counted := range lent.byGateway {
-		if name != m.gateways[0].name && name != m.gateways[1].name && counted.until > m.now() {
-			return []byte{'g', byte(counted.operations), m.untilNow(counted.until)}
+// stoppedProcesses is what is counted for processes that have stopped: at most one has.
+func (s *reserveState) stoppedProcesses(reserves *tenantReserves) []byte {
+	for name, counted := range reserves.byGateway {
+		if name != s.gateways[0].name && name != s.gateways[1].name && counted.until > s.now() {
+			return []byte{'g', byte(counted.operations), s.ticksUntil(counted.until)}
 		}
 	}
 	return nil
 }
 
-func (m *reserveMoment) gatewayKey(index int) string {
-	one := &m.gateways[index]
-	text := []byte{byte(one.purse.bank), byte(one.account.held)}
-	if one.account.held > 0 {
-		text = append(text, m.untilNow(one.account.heldUntil))
+func (s *reserveState) gatewayKey(index int) string {
+	process := &s.gateways[index]
+	text := []byte{byte(process.budget.allocator), byte(process.account.held)}
+	if process.account.held > 0 {
+		text = append(text, s.ticksUntil(process.account.heldUntil))
 	}
-	isAwaited := one.answer != nil
-	for request, sent := range one.requests {
-		state := []byte{'?', byte(sent.Bank), byte(sent.Wants[0].Held), byte(sent.Wants[0].Reserve), mark(sent.Number == one.purse.number)}
-		isUseful := m.left.takeOver > 0 && m.deposed == 0 && m.reaches(index, 1)
-		for term := range m.banks {
-			isNew := m.grants(term) && m.reaches(index, term) && m.isNew(index, request, term)
-			state = append(state, mark(isNew))
+	isAwaited := process.answer != nil
+	for request, sent := range process.requests {
+		state := []byte{'?', byte(sent.Bank), byte(sent.Wants[0].Held), byte(sent.Wants[0].Reserve), flagByte(sent.Number == process.budget.number)}
+		isUseful := s.remaining.takeOverAt > 0 && s.deposedAt == 0 && s.reaches(index, 1)
+		for term := range s.allocators {
+			isNew := s.mayGrant(term) && s.reaches(index, term) && s.isNew(index, request, term)
+			state = append(state, flagByte(isNew))
 			isUseful = isUseful || isNew
 		}
 		if isUseful {
 			text = append(text, state...)
-			isAwaited = isAwaited || sent.Number == one.purse.number
+			isAwaited = isAwaited || sent.Number == process.budget.number
 		}
 	}
 	if isAwaited {
-		text = append(text, byte((m.now()-one.purse.askedAt)/reserveUnit))
+		text = append(text, byte((s.now()-process.budget.sentAt)/reserveUnit))
 	}
-	if one.answer != nil {
-		grant := one.answer.Grants[0]
-		text = append(text, '!', byte(one.answer.Bank), byte(grant.Keep), byte(grant.Reserved), mark(grant.ReserveLife > 0))
+	if process.answer != nil {
+		grant := process.answer.Grants[0]
+		text = append(text, '!', byte(process.answer.Bank), byte(grant.Keep), byte(grant.Reserved), flagByte(grant.ReserveLife > 0))
 	}
-	for term, bank := range m.banks {
-		counted := bank.buckets["t"].reserves.byGateway[one.name]
-		if m.grants(term) && counted.until > m.now() {
-			text = append(text, byte('0'+term), byte(counted.operations), m.untilNow(counted.until))
+	for term, allocator := range s.allocators {
+		counted := allocator.buckets["t"].reserves.byGateway[process.name]
+		if s.mayGrant(term) && counted.until > s.now() {
+			text = append(text, byte('0'+term), byte(counted.operations), s.ticksUntil(counted.until))
 		}
 	}
 	return string(text)
 }
 
-// searchReserves plays all histories. It stops at the first that breaks the bound.
-func searchReserves(most int, left happens, lacks without) (broken bool, mostHeld, moments int) {
-	waiting := []*reserveMoment{newReserveMoment(most, left, lacks)}
+// searchReserves explores all histories. It stops at the first that exceeds the bound.
+func searchReserves(maxReserve int, remaining scenario, disabled guard) (broken bool, mostHeld, states int) {
+	waiting := []*reserveState{newReserveState(maxReserve, remaining, disabled)}
 	seen := map[string]struct{}{waiting[0].key(): {}}
 	for len(waiting) > 0 {
 		last := waiting[len(waiting)-1]
 		waiting = waiting[:len(waiting)-1]
-		for _, next := range last.following() {
+		for _, next := range last.successors() {
 			if next.isBroken() {
 				return true, mostHeld, len(seen)
 			}
@@ -471,35 +478,36 @@
 	return false, mostHeld, len(seen)
 }
 
-// QUOTA: in no history of a small world is more begun in a window than may be held in reserve at its start and is lent in it.
-func TestReserveSearchOfSmallWorlds(t *testing.T) {
-	for _, left := range []happens{
-		{restart: true, doubled: true, end: 3},
-		{takeOver: 1, fresh: 1, doubled: true, split: true, end: 2},
-		{takeOver: 1, fresh: 1, end: 3},
-		{takeOver: 1, fresh: 2, split: true, end: 3},
-		{takeOver: 1, fresh: 1, lower: true, split: true, end: 2},
-		{forget: true, end: 3},
-		{lower: true, end: 2},
+// QUOTA: in no history of the small model do more operations begin in a window than may be held in reserve at its start and are granted in
+// reserve in it.
+func TestNoReserveHistoryOfASmallModelExceedsTheBound(t *testing.T) {
+	for _, remaining := range []scenario{
+		{mayRestart: true, mayDuplicate: true, lastTick: 3},
+		{takeOverAt: 1, deposedGrants: 1, mayDuplicate: true, isPartitioned: true, lastTick: 2},
+		{takeOverAt: 1, deposedGrants: 1, lastTick: 3},
+		{takeOverAt: 1, deposedGrants: 2, isPartitioned: true, lastTick: 3},
+		{takeOverAt: 1, deposedGrants: 1, mayChangeLimit: true, isPartitioned: true, lastTick: 2},
+		{mayReadd: true, lastTick: 3},
+		{mayChangeLimit: true, lastTick: 2},
 	} {
-		broken, mostHeld, moments := searchReserves(1, left, "")
+		broken, mostHeld, states := searchReserves(1, remaining, "")
 		if broken || mostHeld != 1 {
-			t.Errorf("%+v: broken %v, %d held", left, broken, mostHeld)
+			t.Errorf("%+v: broken %v, %d held", remaining, broken, mostHeld)
 		}
-		t.Logf("%+v: %d moments", left, moments)
+		t.Logf("%+v: %d states", remaining, states)
 	}
 }
 
-// Each guard of reserves that is taken out is found.
-func TestReserveSearchFindsEachGuard(t *testing.T) {
-	for guard, left := range reserveGuards {
-		t.Run(string(guard), func(t *testing.T) {
+// The search must find a violation for each guard of reserves that is disabled.
+func TestReserveSearchDetectsEachDisabledGuard(t *testing.T) {
+	for disabled, remaining := range reserveGuards {
+		t.Run(string(disabled), func(t *testing.T) {
 			t.Parallel()
-			broken, _, moments := searchReserves(1, left, guard)
+			broken, _, states := searchReserves(1, remaining, disabled)
 			if !broken {
-				t.Errorf("not found in %d moments", moments)
+				t.Errorf("the bound holds in all %d states", states)
 			}
-			t.Logf("%d moments", moments)
+			t.Logf("%d states", states)
 		})
 	}
 }
--- a/control/quota/reserve_test.go
+++ b/control/quota/reserve_test.go
@@ -7,252 +7,253 @@
 	"github.com/matryer/is"
 )
 
-// reserveWorld is a bank with one tenant, and gateways that ask it.
-type reserveWorld struct {
+// reserveHarness is an allocator with one tenant, and the budgets of gateways that ask it.
+type reserveHarness struct {
 	*testing.T
-	bank     *Allocator
-	now      time.Duration
-	gateways map[string]*Budget
+	allocator *Allocator
+	now       time.Duration
+	budgets   map[string]*Budget // by gateway
 }
 
-func newReserveWorld(t *testing.T, limit Limit) *reserveWorld {
-	w := &reserveWorld{T: t, gateways: map[string]*Budget{}}
-	w.follow(1, limit)
-	w.now = reserveLife + reserveMargin // nothing is left of earlier banks
-	return w
+func newReserveHarness(t *testing.T, limit Limit) *reserveHarness {
+	h := &reserveHarness{T: t, budgets: map[string]*Budget{}}
+	h.replaceAllocator(1, limit)
+	h.now = reserveLife + reserveMargin // reserves of earlier allocators have ended
+	return h
 }
 
-// follow has a bank take over that opens now.
-func (w *reserveWorld) follow(id uint64, limit Limit) {
-	w.bank = NewAllocator(id, w.now, usualRules)
-	w.bank.SetLimits(w.now, []Limit{limit})
+// replaceAllocator has an allocator take over that opens now.
+func (h *reserveHarness) replaceAllocator(id uint64, limit Limit) {
+	h.allocator = NewAllocator(id, h.now, usualRules)
+	h.allocator.SetLimits(h.now, []Limit{limit})
 }
 
-func (w *reserveWorld) purse(name string) *Budget {
-	if w.gateways[name] == nil {
-		w.gateways[name] = newLimitedPurse()
+func (h *reserveHarness) budget(name string) *Budget {
+	if h.budgets[name] == nil {
+		h.budgets[name] = newLimitedBudget()
 	}
-	return w.gateways[name]
+	return h.budgets[name]
 }
 
-// ask has a gateway ask, if it has a reason to.
-func (w *reserveWorld) ask(name string) {
-	request, due := w.purse(name).NextRequest(w.now)
+// ask sends a gateway's request, if one is due, and applies the answer.
+func (h *reserveHarness) ask(name string) {
+	request, due := h.budget(name).NextRequest(h.now)
 	if !due {
 		return
 	}
 	request.Gateway = name
-	w.purse(name).ApplyAnswer(w.now, w.bank.Answer(w.now, request))
+	h.budget(name).ApplyAnswer(h.now, h.allocator.Answer(h.now, request))
 }
 
-// operate has operations arrive at a gateway, which asks between them, and counts those that begin.
-func (w *reserveWorld) operate(name string, count int) int {
+// runOperations has operations arrive at a gateway, which asks for grants when it needs them, and counts those that begin.
+func (h *reserveHarness) runOperations(name string, count int) int {
 	began := 0
 	for range count {
-		verdict := w.purse(name).Take(w.now, "bakers")
-		if verdict == NeedsGrant {
-			w.purse(name).AddWaiter("bakers")
-			w.ask(name)
-			verdict = w.purse(name).RetryTake(w.now, "bakers")
-			w.purse(name).RemoveWaiter("bakers")
+		result := h.budget(name).Take(h.now, "bakers")
+		if result == NeedsGrant {
+			h.budget(name).AddWaiter("bakers")
+			h.ask(name)
+			result = h.budget(name).RetryTake(h.now, "bakers")
+			h.budget(name).RemoveWaiter("bakers")
 		}
-		if verdict == Taken {
+		if result == Taken {
 			began++
 		}
 	}
 	return began
 }
 
-// live lets time pass, with so many operations a second at each gateway.
-func (w *reserveWorld) live(length time.Duration, perSecond int, names ...string) {
+// serve lets time pass with the given number of operations per second at each gateway. None may be refused.
+func (h *reserveHarness) serve(length time.Duration, perSecond int, names ...string) {
 	step := time.Second / time.Duration(perSecond)
-	for end := w.now + length; w.now < end; w.now += step {
+	for end := h.now + length; h.now < end; h.now += step {
 		for _, name := range names {
-			if w.operate(name, 1) != 1 {
-				w.Fatalf("%v: refused far below the limit", w.now)
+			if h.runOperations(name, 1) != 1 {
+				h.Fatalf("%v: refused below the limit", h.now)
 			}
-			w.ask(name)
+			h.ask(name)
 		}
 	}
 }
 
 var tenPerSecond = Limit{Tenant: "bakers", RatePerS: 10, Burst: 10}
 
-// Refused below the limit: gateways had nothing while the primary was replaced.
-func TestReserveOutlastsTheLossOfTheBank(t *testing.T) {
+// Refused below the limit: gateways had no operations to begin while the primary was replaced.
+func TestReserveOutlastsTheLossOfTheAllocator(t *testing.T) {
 	is := is.New(t)
-	w := newReserveWorld(t, tenPerSecond)
-	w.live(10*time.Second, 2, "a", "b")
-	lost := w.now
+	h := newReserveHarness(t, tenPerSecond)
+	h.serve(10*time.Second, 2, "a", "b")
+	lostAt := h.now
 	began := 0
-	for ; w.now < lost+1500*time.Millisecond; w.now += 500 * time.Millisecond {
+	for ; h.now < lostAt+1500*time.Millisecond; h.now += 500 * time.Millisecond {
 		for _, name := range []string{"a", "b"} {
-			if w.purse(name).Take(w.now, "bakers") == Taken {
+			if h.budget(name).Take(h.now, "bakers") == Taken {
 				began++
 			}
 		}
 	}
 	is.Equal(began, 6)
-	w.now = lost + reserveLife
-	is.Equal(w.purse("a").Take(w.now, "bakers"), NeedsGrant)
+	h.now = lostAt + reserveLife
+	is.Equal(h.budget("a").Take(h.now, "bakers"), NeedsGrant)
 }
 
-// QUOTA: what gateways hold in reserve is never more than the bank may lend, also where one is gone or a bank follows another.
+// QUOTA: what gateways hold in reserve never exceeds the reserve of the limit, also when gateways stop and allocators are replaced.
 func TestReservesAreBounded(t *testing.T) {
 	is := is.New(t)
-	w := newReserveWorld(t, tenPerSecond)
-	most := termsOf(tenPerSecond, usualRules).reserve
+	h := newReserveHarness(t, tenPerSecond)
+	maxReserve := parametersFor(tenPerSecond, usualRules).maxReserve
 	sum := func() int {
 		held := 0
-		for _, purse := range w.gateways {
-			purse.accounts["bakers"].dropEnded(w.now)
-			held += purse.accounts["bakers"].held
+		for _, budget := range h.budgets {
+			budget.accounts["bakers"].dropExpired(h.now)
+			held += budget.accounts["bakers"].held
 		}
 		return held
 	}
 	names := []string{"a", "b", "c", "d", "e"}
-	for bank := uint64(2); bank < 8; bank++ {
+	for allocator := uint64(2); allocator < 8; allocator++ {
 		for range 40 {
-			w.now += 100 * time.Millisecond
+			h.now += 100 * time.Millisecond
 			for _, name := range names {
-				w.purse(name).Take(w.now, "bakers") // a demand that is far beyond the limit
-				w.ask(name)
-				is.True(sum() <= most)
+				h.budget(name).Take(h.now, "bakers") // demand far above the limit
+				h.ask(name)
+				is.True(sum() <= maxReserve)
 			}
 		}
-		w.purse(names[0]).RequestFailed()
-		names = append(names[1:], names[0]+"'") // a gateway is gone, its reserve isn't yet
-		w.follow(bank, tenPerSecond)
+		h.budget(names[0]).RequestFailed()
+		names = append(names[1:], names[0]+"'") // a gateway stops; its reserve hasn't ended yet
+		h.replaceAllocator(allocator, tenPerSecond)
 	}
 	is.True(sum() > 0)
 }
 
-// QUOTA: a later bank lent what gateways still held by the grants of an earlier one.
-func TestLaterBankLendsNothingThatMayStillBeHeld(t *testing.T) {
+// QUOTA: a new allocator granted in reserve what gateways still held by grants of an earlier one.
+func TestNewAllocatorReservesNothingThatMayStillBeHeld(t *testing.T) {
 	is := is.New(t)
-	w := newReserveWorld(t, tenPerSecond)
-	w.live(10*time.Second, 3, "a", "b")
-	heldBySilent := w.purse("b").accounts["bakers"].held
-	is.True(heldBySilent > 0)
-	w.follow(2, tenPerSecond)
-	opened := w.now
-	most := termsOf(tenPerSecond, usualRules).reserve
-	for ; w.now < opened+reserveLife-100*time.Millisecond; w.now += 100 * time.Millisecond {
-		w.ask("a")
-		is.True(w.purse("a").accounts["bakers"].held <= most-heldBySilent)
+	h := newReserveHarness(t, tenPerSecond)
+	h.serve(10*time.Second, 3, "a", "b")
+	heldByB := h.budget("b").accounts["bakers"].held
+	is.True(heldByB > 0)
+	h.replaceAllocator(2, tenPerSecond)
+	openedAt := h.now
+	maxReserve := parametersFor(tenPerSecond, usualRules).maxReserve
+	for ; h.now < openedAt+reserveLife-100*time.Millisecond; h.now += 100 * time.Millisecond {
+		h.ask("a")
+		is.True(h.budget("a").accounts["bakers"].held <= maxReserve-heldByB)
 	}
-	is.True(w.purse("a").accounts["bakers"].held > 0) // what it had is renewed
+	is.True(h.budget("a").accounts["bakers"].held > 0) // what it held is renewed
 }
 
-// QUOTA: a request that came late counted as the newest word of its gateway.
-func TestOvertakenRequestChangesNothing(t *testing.T) {
+// QUOTA: a delayed request was taken for the newest report of its gateway.
+func TestStaleRequestChangesNothing(t *testing.T) {
 	is := is.New(t)
-	w := newReserveWorld(t, tenPerSecond)
-	w.now += 10 * time.Second
+	h := newReserveHarness(t, tenPerSecond)
+	h.now += 10 * time.Second
 	newer := Request{Gateway: "a", Number: 5, Bank: 1, Wants: []Want{{Tenant: "bakers", Reserve: 4}}}
-	is.Equal(w.bank.Answer(w.now, newer).Grants[0].Reserved, 4)
+	is.Equal(h.allocator.Answer(h.now, newer).Grants[0].Reserved, 4)
 	older := Request{Gateway: "a", Number: 4, Bank: 1, Wants: []Want{{Tenant: "bakers", Operations: 1, Held: 0}}}
-	is.Equal(len(w.bank.Answer(w.now, older).Grants), 0)
-	is.Equal(w.bank.buckets["bakers"].reserves.byGateway["a"].operations, 4)
+	is.Equal(len(h.allocator.Answer(h.now, older).Grants), 0)
+	is.Equal(h.allocator.buckets["bakers"].reserves.byGateway["a"].operations, 4)
 }
 
-// QUOTA: reserves of a limit that was lowered stayed.
+// QUOTA: gateways kept their reserves after the limit was lowered.
 func TestReservesShrinkWithTheLimit(t *testing.T) {
 	is := is.New(t)
-	w := newReserveWorld(t, Limit{Tenant: "bakers", RatePerS: 100, Burst: 100})
-	w.live(10*time.Second, 20, "a", "b")
-	before := w.purse("a").accounts["bakers"].held
-	w.bank.SetLimits(w.now, []Limit{{Tenant: "bakers", RatePerS: 1, Burst: 1}})
-	w.now += time.Second + reservePause
-	w.ask("a")
-	w.ask("b")
-	most := termsOf(Limit{RatePerS: 1, Burst: 1}, usualRules).reserve
-	held := w.purse("a").accounts["bakers"].held + w.purse("b").accounts["bakers"].held
-	is.True(before > most)
-	is.True(held <= most)
+	h := newReserveHarness(t, Limit{Tenant: "bakers", RatePerS: 100, Burst: 100})
+	h.serve(10*time.Second, 20, "a", "b")
+	before := h.budget("a").accounts["bakers"].held
+	h.allocator.SetLimits(h.now, []Limit{{Tenant: "bakers", RatePerS: 1, Burst: 1}})
+	h.now += time.Second + reservePause
+	h.ask("a")
+	h.ask("b")
+	maxReserve := parametersFor(Limit{RatePerS: 1, Burst: 1}, usualRules).maxReserve
+	held := h.budget("a").accounts["bakers"].held + h.budget("b").accounts["bakers"].held
+	is.True(before > maxReserve)
+	is.True(held <= maxReserve)
 }
 
-// heldBy is what a gateway may still begin of its reserve.
-func (w *reserveWorld) heldBy(name string) int {
-	account := w.purse(name).accounts["bakers"]
-	account.dropEnded(w.now)
+// heldBy is how many operations a gateway may still begin from its reserve.
+func (h *reserveHarness) heldBy(name string) int {
+	account := h.budget(name).accounts["bakers"]
+	account.dropExpired(h.now)
 	return account.held
 }
 
-// hoard has a gateway ask on and on, whose operations all fail before they are taken out.
-func (w *reserveWorld) hoard(name string, length time.Duration) {
-	for end := w.now + length; w.now < end; w.now += 100 * time.Millisecond {
-		w.purse(name).accounts["bakers"].count(w.now)
-		w.ask(name)
+// fillReserve has a gateway count demand and ask for a reserve, as if all its operations failed before they are taken out.
+func (h *reserveHarness) fillReserve(name string, length time.Duration) {
+	for end := h.now + length; h.now < end; h.now += 100 * time.Millisecond {
+		h.budget(name).accounts["bakers"].countDemand(h.now)
+		h.ask(name)
 	}
 }
 
-// QUOTA: a tenant was taken out and came back, and what a gateway had held long before was taken off what others held.
-func TestTenantThatComesBackIsLentNothingThatMayStillBeHeld(t *testing.T) {
+// QUOTA: a tenant was removed and added again, and an outdated report of one gateway was taken off what other gateways held.
+func TestReaddedTenantGetsNoReserveThatMayStillBeHeld(t *testing.T) {
 	is := is.New(t)
-	w := newReserveWorld(t, tenPerSecond)
-	most := termsOf(tenPerSecond, usualRules).reserve
-	w.now += 10 * time.Second
-	w.hoard("a", time.Second)
-	delayed := Request{Gateway: "a", Number: 100, Bank: 1, Wants: []Want{{Tenant: "bakers", Held: w.heldBy("a")}}}
-	w.hoard("b", reserveLife+4*time.Second)
-	is.Equal(w.heldBy("a"), 0)
-	is.True(w.heldBy("b") > most/2)
-	w.bank.SetLimits(w.now, nil)
-	w.bank.SetLimits(w.now, []Limit{tenPerSecond})
-	w.bank.Answer(w.now, delayed)
-	w.now += 2 * time.Second
-	next := Request{Gateway: "a", Number: 101, Bank: 1, Wants: []Want{{Tenant: "bakers", Reserve: most}}}
-	lent := w.bank.Answer(w.now, next).Grants[0].Reserved
-	is.True(lent+w.heldBy("b") <= most)
+	h := newReserveHarness(t, tenPerSecond)
+	maxReserve := parametersFor(tenPerSecond, usualRules).maxReserve
+	h.now += 10 * time.Second
+	h.fillReserve("a", time.Second)
+	delayed := Request{Gateway: "a", Number: 100, Bank: 1, Wants: []Want{{Tenant: "bakers", Held: h.heldBy("a")}}}
+	h.fillReserve("b", reserveLife+4*time.Second)
+	is.Equal(h.heldBy("a"), 0)
+	is.True(h.heldBy("b") > maxReserve/2)
+	h.allocator.SetLimits(h.now, nil)
+	h.allocator.SetLimits(h.now, []Limit{tenPerSecond})
+	h.allocator.Answer(h.now, delayed)
+	h.now += 2 * time.Second
+	next := Request{Gateway: "a", Number: 101, Bank: 1, Wants: []Want{{Tenant: "bakers", Reserve: maxReserve}}}
+	reserved := h.allocator.Answer(h.now, next).Grants[0].Reserved
+	is.True(reserved+h.heldBy("b") <= maxReserve)
 }
 
-// QUOTA: a limit was lowered before a later bank took over, and raised after it: what was held by the first limit was lent again.
-func TestLaterBankCountsWhatWasLentByAHigherLimit(t *testing.T) {
+// QUOTA: a limit was lowered before another allocator took over, and raised afterwards: what was still held under the first limit was
+// granted again.
+func TestNewAllocatorCountsReservesOfAHigherLimit(t *testing.T) {
 	is := is.New(t)
-	w := newReserveWorld(t, tenPerSecond)
-	most := termsOf(tenPerSecond, usualRules).reserve
-	w.now += 10 * time.Second
-	w.hoard("b", 6*time.Second)
-	is.True(w.heldBy("b") > most/2)
-	w.follow(2, Limit{Tenant: "bakers"})
-	w.bank.SetLimits(w.now, []Limit{tenPerSecond})
+	h := newReserveHarness(t, tenPerSecond)
+	maxReserve := parametersFor(tenPerSecond, usualRules).maxReserve
+	h.now += 10 * time.Second
+	h.fillReserve("b", 6*time.Second)
+	is.True(h.heldBy("b") > maxReserve/2)
+	h.replaceAllocator(2, Limit{Tenant: "bakers"})
+	h.allocator.SetLimits(h.now, []Limit{tenPerSecond})
 	for range 20 {
-		w.hoard("a", 100*time.Millisecond)
-		is.True(w.heldBy("a")+w.heldBy("b") <= most)
+		h.fillReserve("a", 100*time.Millisecond)
+		is.True(h.heldBy("a")+h.heldBy("b") <= maxReserve)
 	}
 }
 
-// QUOTA: a gateway whose steady clock is a little slow used a reserve that the bank had lent to another one.
-func TestReserveIsCountedLongerThanAnyClockMayTakeIt(t *testing.T) {
+// QUOTA: a gateway whose monotonic clock is a little slow used a reserve that the allocator had granted to another one.
+func TestReserveIsCountedForLongerThanASlowClockUsesIt(t *testing.T) {
 	is := is.New(t)
-	w := newReserveWorld(t, tenPerSecond)
-	w.now += 10 * time.Second
-	w.hoard("a", 3*time.Second)
-	asked := w.purse("a").askedAt
-	lent := w.bank.buckets["bakers"].reserves
-	w.now = asked + reserveLife + reserveLife/100
-	is.True(lent.room(w.now, "b", 0) < 0)
-	w.now = asked + reserveLife + reserveLife/20
-	is.Equal(lent.room(w.now, "b", 0), 0)
+	h := newReserveHarness(t, tenPerSecond)
+	h.now += 10 * time.Second
+	h.fillReserve("a", 3*time.Second)
+	sentAt := h.budget("a").sentAt
+	reserves := h.allocator.buckets["bakers"].reserves
+	h.now = sentAt + reserveLife + reserveLife/100
+	is.True(reserves.room(h.now, "b", 0) < 0)
+	h.now = sentAt + reserveLife + reserveLife/20
+	is.Equal(reserves.room(h.now, "b", 0), 0)
 }
 
-// QUOTA: a gateway that was refused a moment before told a bank that it held what had ended, which the bank took off what others may hold.
-func TestRefusedGatewayTellsOnlyWhatItHolds(t *testing.T) {
+// QUOTA: a gateway that had just been refused reported a reserve that had ended, and the allocator took it off what others may hold.
+func TestRefusedGatewayReportsOnlyWhatItHolds(t *testing.T) {
 	is := is.New(t)
-	purse := newLimitedPurse()
-	is.Equal(purse.Take(0, "bakers"), NeedsGrant)
-	_, due := purse.NextRequest(0)
+	budget := newLimitedBudget()
+	is.Equal(budget.Take(0, "bakers"), NeedsGrant)
+	_, due := budget.NextRequest(0)
 	is.True(due)
-	purse.ApplyAnswer(0, Answer{Number: 1, Grants: []Grant{{Tenant: "bakers", Reserved: 3, ReserveLife: reserveLife}}})
+	budget.ApplyAnswer(0, Answer{Number: 1, Grants: []Grant{{Tenant: "bakers", Reserved: 3, ReserveLife: reserveLife}}})
 	for range 5 {
-		purse.AddWaiter("bakers")
+		budget.AddWaiter("bakers")
 	}
 	refusedAt := reserveLife - reservePause
-	_, due = purse.NextRequest(refusedAt)
+	_, due = budget.NextRequest(refusedAt)
 	is.True(due)
-	purse.ApplyAnswer(refusedAt, Answer{Number: 2, Grants: []Grant{{Tenant: "bakers", Keep: 3, RetryAfter: longestRetry}}})
-	request, due := purse.NextRequest(reserveLife)
+	budget.ApplyAnswer(refusedAt, Answer{Number: 2, Grants: []Grant{{Tenant: "bakers", Keep: 3, RetryAfter: maxRetry}}})
+	request, due := budget.NextRequest(reserveLife)
 	is.True(due)
 	is.Equal(request.Wants[0].Held, 0)
 }
--- a/control/quota/search_test.go
+++ b/control/quota/search_test.go
@@ -7,43 +7,49 @@
 	"time"
 )
 
-// The search plays all histories of a small world: gateways, one tenant and two terms of primaries. Time goes in ticks. Questions and answers
-// may be lost, late, doubled or crossed; a process that stands still is one whose messages are late. Operations are judged from outside, by
-// when they were taken out.
+// The search explores all histories of a small model: gateways, one tenant and two terms of primaries. Time advances in ticks. Requests and
+// answers may be lost, delayed, duplicated or reordered; a paused process is one whose messages are delayed. Whether the rule holds is
+// determined only by when operations were taken out of budgets.
 
 const (
-	searchTick     = 100 * time.Millisecond
-	searchLife     = 2 // ticks, of a grant
-	searchWindow   = 2 // ticks, of the rule
-	searchFresh    = 2 // ticks for which a deposed primary may grant
-	searchCapacity = 1
-	searchEnd      = 6 // ticks of a history
-	searchWanted   = 2 // operations that wait at each gateway
-	// searchMost is the capacity and what comes in while operations are granted that a closed window of ticks may hold: on a grid of ticks, the
-	// last tick in which a grant is good comes one before its end.
+	searchTick          = 100 * time.Millisecond
+	searchLife          = 2 // ticks, of a grant
+	searchWindow        = 2 // ticks, of the rule
+	searchDeposedGrants = 2 // ticks for which a deposed primary may still grant
+	searchCapacity      = 1
+	searchEnd           = 6 // ticks of a history
+	searchWanted        = 2 // operations that wait at each gateway
+	// searchMost is the most that a window which includes both of its ends may hold: the capacity, and what the bucket receives while
+	// operations that begin in the window can be granted. Time is in whole ticks, so the last tick in which a grant is valid is one before
+	// its end.
 	searchMost = searchCapacity + searchWindow + searchLife - 1
 )
 
-// without names a guard that the search takes out.
-type without string
+// guard names a safety mechanism that a search disables. "" disables none.
+type guard string
 
 const (
-	grantsLast      without = "the life of a grant"
-	countedLate     without = "counting the life from the asking"
-	laterBankFull   without = "the empty start of a later bank"
-	opensAtOnce     without = "the opening time of a later bank"
-	grantsDeposed   without = "the fresh confirmation of a primary"
-	bookedTwice     without = "one booking of an answer"
-	capacityAlone   without = "the life in the capacity"
-	forgottenIsFull without = "the empty start of a tenant that comes back"
+	guardGrantLife        guard = "the life of a grant"
+	guardLifeFromRequest  guard = "counting the life from the request"
+	guardEmptyStart       guard = "the empty start of a later allocator"
+	guardDelayedOpening   guard = "the opening time of a later allocator"
+	guardConfirmedPrimary guard = "the fresh confirmation of a primary"
+	guardSingleDelivery   guard = "one delivery of an answer"
+	guardLifeInCapacity   guard = "the life in the capacity"
+	guardEmptyReadd       guard = "the empty start of a tenant that is added again"
 )
 
-var searchGuards = []without{grantsLast, countedLate, laterBankFull, opensAtOnce, grantsDeposed, bookedTwice, capacityAlone, forgottenIsFull}
+var searchGuards = []guard{
+	guardGrantLife, guardLifeFromRequest, guardEmptyStart, guardDelayedOpening, guardConfirmedPrimary, guardSingleDelivery,
+	guardLifeInCapacity, guardEmptyReadd,
+}
 
-// foundInOneTerm are guards that are missed also where no primary follows: without one there is less to search.
-var foundInOneTerm = map[without]bool{grantsLast: true, countedLate: true, capacityAlone: true, bookedTwice: true, forgottenIsFull: true}
+// detectedInOneTerm are the guards whose absence shows without a second primary; one term has fewer states.
+var detectedInOneTerm = map[guard]bool{
+	guardGrantLife: true, guardLifeFromRequest: true, guardLifeInCapacity: true, guardSingleDelivery: true, guardEmptyReadd: true,
+}
 
-// sentRequest and sentAnswer are on their way, and stay so after they have come: they may come again.
+// sentRequest and sentAnswer are messages in transit. They stay in transit after they have arrived, as they may arrive again.
 type sentRequest struct {
 	gateway int
 	age     int // ticks
@@ -56,94 +62,94 @@
 	answer  Answer
 }
 
-// smallWorld is one moment of a history.
-type smallWorld struct {
-	tick     int
-	purses   []*Budget
-	banks    []*Allocator // by term
-	deposed  int          // the tick in which the second term began; 0: it hasn't
-	forgets  bool         // the tenant may be taken out of the configuration and come back, once
-	requests []sentRequest
-	answers  []sentAnswer
-	taken    []int // operations by tick, of the last ones that a window can hold
-	most     int   // operations in the window that ended with the last tick
-	lacks    without
-	alone    bool // there is only one term
+// searchState is one state of a history.
+type searchState struct {
+	tick         int
+	budgets      []*Budget
+	allocators   []*Allocator // by term
+	deposedAt    int          // the tick in which the second term began; 0: it hasn't
+	mayReadd     bool         // the tenant may be removed from the configuration and added again, once
+	requests     []sentRequest
+	answers      []sentAnswer
+	taken        []int // operations taken out by tick, for as many last ticks as a window has
+	inWindow     int   // operations in the window that ended with the last tick
+	disabled     guard
+	isSingleTerm bool
 }
 
-func (w *smallWorld) now() time.Duration { return time.Duration(w.tick) * searchTick }
+func (s *searchState) now() time.Duration { return time.Duration(s.tick) * searchTick }
 
-func (w *smallWorld) bank(opensAt time.Duration) *Allocator {
-	bank := NewAllocator(1, opensAt, Rules{})
-	one := &bucket{filledAt: max(w.now(), opensAt)}
-	one.terms = terms{rate: 1 / searchTick.Seconds(), capacity: searchCapacity, life: searchLife * searchTick}
-	if w.lacks == capacityAlone {
-		one.capacity += searchLife
+func (s *searchState) newAllocator(opensAt time.Duration) *Allocator {
+	allocator := NewAllocator(1, opensAt, Rules{})
+	added := &bucket{filledAt: max(s.now(), opensAt)}
+	added.parameters = parameters{rate: 1 / searchTick.Seconds(), capacity: searchCapacity, grantLife: searchLife * searchTick}
+	if s.disabled == guardLifeInCapacity {
+		added.capacity += searchLife
 	}
-	bank.buckets["t"] = one
-	return bank
+	allocator.buckets["t"] = added
+	return allocator
 }
 
-func newSmallWorld(gateways int, forgets bool, lacks without) *smallWorld {
-	w := &smallWorld{forgets: forgets, lacks: lacks, alone: foundInOneTerm[lacks], taken: make([]int, searchWindow+1)}
+func newSearchState(gateways int, mayReadd bool, disabled guard) *searchState {
+	s := &searchState{mayReadd: mayReadd, disabled: disabled, isSingleTerm: detectedInOneTerm[disabled], taken: make([]int, searchWindow+1)}
 	for range gateways {
-		w.purses = append(w.purses, newSearchPurse())
+		s.budgets = append(s.budgets, newSearchBudget())
 	}
-	first := w.bank(0)
-	first.buckets["t"].level = first.buckets["t"].capacity // as after a long rest
-	w.banks = []*Allocator{first}
-	return w
+	first := s.newAllocator(0)
+	first.buckets["t"].level = first.buckets["t"].capacity // as after a long idle time
+	s.allocators = []*Allocator{first}
+	return s
 }
 
-func newSearchPurse() *Budget {
-	purse := NewBudget()
-	purse.SetLimitedTenants([]string{"t"})
+func newSearchBudget() *Budget {
+	budget := NewBudget()
+	budget.SetLimitedTenants([]string{"t"})
 	for range searchWanted {
-		purse.AddWaiter("t")
+		budget.AddWaiter("t")
 	}
-	return purse
+	return budget
 }
 
-func (w *smallWorld) copied() *smallWorld {
-	next := *w
-	next.purses = make([]*Budget, 0, len(w.purses))
-	for _, purse := range w.purses {
-		own, held := *purse, *purse.accounts["t"]
-		held.lots = slices.Clone(held.lots)
-		own.accounts = map[string]*account{"t": &held}
-		next.purses = append(next.purses, &own)
+func (s *searchState) clone() *searchState {
+	next := *s
+	next.budgets = make([]*Budget, 0, len(s.budgets))
+	for _, budget := range s.budgets {
+		copied, copiedAccount := *budget, *budget.accounts["t"]
+		copiedAccount.grants = slices.Clone(copiedAccount.grants)
+		copied.accounts = map[string]*account{"t": &copiedAccount}
+		next.budgets = append(next.budgets, &copied)
 	}
-	next.requests, next.answers, next.taken = slices.Clone(w.requests), slices.Clone(w.answers), slices.Clone(w.taken)
+	next.requests, next.answers, next.taken = slices.Clone(s.requests), slices.Clone(s.answers), slices.Clone(s.taken)
 	return &next
 }
 
-// own gives a bank that may be changed, which moments share otherwise.
-func (w *smallWorld) own(term int) *Allocator {
-	own, level := *w.banks[term], *w.banks[term].buckets["t"]
-	own.buckets = map[string]*bucket{"t": &level}
-	w.banks = slices.Clone(w.banks)
-	w.banks[term] = &own
-	return &own
+// mutableAllocator gives the state a copy of an allocator, which it may change: states share allocators otherwise.
+func (s *searchState) mutableAllocator(term int) *Allocator {
+	copied, copiedBucket := *s.allocators[term], *s.allocators[term].buckets["t"]
+	copied.buckets = map[string]*bucket{"t": &copiedBucket}
+	s.allocators = slices.Clone(s.allocators)
+	s.allocators[term] = &copied
+	return &copied
 }
 
-// key tells moments apart from which the same may follow. Times are told as of now; the gateways' order doesn't matter.
-func (w *smallWorld) key() string {
+// key is equal for states that have the same successors. Times are relative to now; the order of the gateways doesn't matter.
+func (s *searchState) key() string {
 	var gateways []string
-	for index, purse := range w.purses {
-		text := []byte{mark(purse.asking), byte((w.now() - purse.askedAt) / searchTick)}
-		for _, kept := range purse.accounts["t"].lots {
-			text = append(text, byte(kept.operations), byte((kept.until-w.now())/searchTick))
+	for index, budget := range s.budgets {
+		text := []byte{flagByte(budget.isPending), byte((s.now() - budget.sentAt) / searchTick)}
+		for _, grant := range budget.accounts["t"].grants {
+			text = append(text, byte(grant.operations), byte((grant.until-s.now())/searchTick))
 		}
 		text = append(text, '/')
-		for _, sent := range w.requests {
+		for _, sent := range s.requests {
 			if sent.gateway == index {
 				text = append(text, byte(sent.age), byte(sent.request.Wants[0].Operations), '?')
 			}
 		}
 		var answers []string
-		for _, sent := range w.answers {
+		for _, sent := range s.answers {
 			if sent.gateway == index {
-				isDue := mark(sent.answer.Number == purse.number)
+				isDue := flagByte(sent.answer.Number == budget.number)
 				answers = append(answers, string([]byte{byte(sent.age), byte(sent.answer.Grants[0].Operations), isDue}))
 			}
 		}
@@ -151,230 +157,234 @@
 		gateways = append(gateways, string(text)+strings.Join(answers, "!"))
 	}
 	slices.Sort(gateways)
-	text := []byte{byte(w.tick), byte(w.deposed), mark(w.forgets)}
-	for _, count := range w.taken {
+	text := []byte{byte(s.tick), byte(s.deposedAt), flagByte(s.mayReadd)}
+	for _, count := range s.taken {
 		text = append(text, byte(count))
 	}
-	for _, bank := range w.banks {
-		one := *bank.buckets["t"]
-		one.fill(w.now())
-		text = append(text, byte(one.level*10+0.5), byte(max(0, one.filledAt-w.now())/searchTick))
+	for _, allocator := range s.allocators {
+		filled := *allocator.buckets["t"]
+		filled.fill(s.now())
+		text = append(text, byte(filled.level*10+0.5), byte(max(0, filled.filledAt-s.now())/searchTick))
 	}
 	return string(text) + strings.Join(gateways, "|")
 }
 
-func mark(flag bool) byte {
+func flagByte(flag bool) byte {
 	if flag {
 		return 'y'
 	}
 	return 'n'
 }
 
-// following gives all moments that one thing more leads to. Operations are taken out at the end of a tick.
-func (w *smallWorld) following() []*smallWorld {
-	all := w.passed()
-	try := func(change func(next *smallWorld) bool) {
-		if next := w.copied(); change(next) {
+// successors gives all states that one more event leads to. Operations are taken out at the end of a tick.
+func (s *searchState) successors() []*searchState {
+	all := s.tickSuccessors()
+	try := func(change func(next *searchState) bool) {
+		if next := s.clone(); change(next) {
 			all = append(all, next)
 		}
 	}
-	for gateway, purse := range w.purses {
-		if len(purse.accounts["t"].lots) > 0 {
-			try(func(next *smallWorld) bool { return next.restart(gateway) })
+	for gateway, budget := range s.budgets {
+		if len(budget.accounts["t"].grants) > 0 {
+			try(func(next *searchState) bool { return next.restart(gateway) })
 		}
-		if purse.asking {
-			try(func(next *smallWorld) bool { return next.giveUp(gateway) })
+		if budget.isPending {
+			try(func(next *searchState) bool { return next.failRequest(gateway) })
 		}
 	}
-	if w.mayTakeOver() {
-		try((*smallWorld).takeOver)
+	if s.mayStartSecondTerm() {
+		try((*searchState).startSecondTerm)
 	}
-	if w.forgets {
-		try((*smallWorld).forgetLimit)
+	if s.mayReadd {
+		try((*searchState).readdTenant)
 	}
-	for gateway, purse := range w.purses {
-		if !purse.asking {
-			try(func(next *smallWorld) bool { return next.ask(gateway) })
+	for gateway, budget := range s.budgets {
+		if !budget.isPending {
+			try(func(next *searchState) bool { return next.ask(gateway) })
 		}
 	}
-	for index := range w.requests {
-		for term := range w.banks {
-			if w.mayDecide(term) {
-				try(func(next *smallWorld) bool { return next.decide(index, term) })
+	for index := range s.requests {
+		for term := range s.allocators {
+			if s.mayAnswer(term) {
+				try(func(next *searchState) bool { return next.answerRequest(index, term) })
 			}
 		}
 	}
-	for index := range w.answers {
-		try(func(next *smallWorld) bool { return next.book(index) })
+	for index := range s.answers {
+		try(func(next *searchState) bool { return next.deliverAnswer(index) })
 	}
 	return all
 }
 
-// passed gives the moments a tick later, after any number of operations was taken out at each gateway.
-func (w *smallWorld) passed() []*smallWorld {
-	if w.tick == searchEnd {
+// tickSuccessors gives the states a tick later, after any number of operations was taken out at each gateway.
+func (s *searchState) tickSuccessors() []*searchState {
+	if s.tick == searchEnd {
 		return nil
 	}
-	ways := []*smallWorld{w.copied()}
-	for gateway := range w.purses {
-		for _, way := range ways {
-			for way = way.copied(); way.take(gateway); way = way.copied() {
-				ways = append(ways, way)
+	all := []*searchState{s.clone()}
+	for gateway := range s.budgets {
+		for _, next := range all {
+			for next = next.clone(); next.take(gateway); next = next.clone() {
+				all = append(all, next)
 			}
 		}
 	}
-	for _, way := range ways {
-		way.pass()
+	for _, next := range all {
+		next.advanceTick()
 	}
-	return ways
+	return all
 }
 
-func (w *smallWorld) ask(gateway int) bool {
-	request, due := w.purses[gateway].NextRequest(w.now())
-	w.requests = append(w.requests, sentRequest{gateway: gateway, request: request})
+func (s *searchState) ask(gateway int) bool {
+	request, due := s.budgets[gateway].NextRequest(s.now())
+	s.requests = append(s.requests, sentRequest{gateway: gateway, request: request})
 	return due
 }
 
-func (w *smallWorld) giveUp(gateway int) bool {
-	was := w.purses[gateway].asking
-	w.purses[gateway].RequestFailed()
-	w.dropUseless()
-	return was
+func (s *searchState) failRequest(gateway int) bool {
+	wasPending := s.budgets[gateway].isPending
+	s.budgets[gateway].RequestFailed()
+	s.dropObsoleteMessages()
+	return wasPending
 }
 
-func (w *smallWorld) take(gateway int) bool {
-	taken := w.purses[gateway].RetryTake(w.now(), "t") == Taken
+func (s *searchState) take(gateway int) bool {
+	taken := s.budgets[gateway].RetryTake(s.now(), "t") == Taken
 	if taken {
-		w.taken[len(w.taken)-1]++
+		s.taken[len(s.taken)-1]++
 	}
 	return taken
 }
 
-// restart loses what a gateway holds, and its connections.
-func (w *smallWorld) restart(gateway int) bool {
-	was := len(w.purses[gateway].accounts["t"].lots) > 0
-	w.purses[gateway] = newSearchPurse()
-	w.requests = slices.DeleteFunc(w.requests, func(one sentRequest) bool { return one.gateway == gateway })
-	w.answers = slices.DeleteFunc(w.answers, func(one sentAnswer) bool { return one.gateway == gateway })
-	return was
+// restart drops what a gateway holds, and its messages in transit.
+func (s *searchState) restart(gateway int) bool {
+	hadGrants := len(s.budgets[gateway].accounts["t"].grants) > 0
+	s.budgets[gateway] = newSearchBudget()
+	s.requests = slices.DeleteFunc(s.requests, func(one sentRequest) bool { return one.gateway == gateway })
+	s.answers = slices.DeleteFunc(s.answers, func(one sentAnswer) bool { return one.gateway == gateway })
+	return hadGrants
 }
 
-// mayDecide tells whether the primary of a term may answer. Few answers are on their way at a time, to bound the search.
-func (w *smallWorld) mayDecide(term int) bool {
-	isDeposed := w.deposed > 0 && term == 0
-	isOver := isDeposed && w.tick >= w.deposed+searchFresh && w.lacks != grantsDeposed
-	return !isOver && len(w.answers) < len(w.purses)
+// mayAnswer tells whether the primary of a term may answer. Few answers are in transit at a time, to bound the search.
+func (s *searchState) mayAnswer(term int) bool {
+	isDeposed := s.deposedAt > 0 && term == 0
+	isSilenced := isDeposed && s.tick >= s.deposedAt+searchDeposedGrants && s.disabled != guardConfirmedPrimary
+	return !isSilenced && len(s.answers) < len(s.budgets)
 }
 
-// decide has a primary answer a request.
-func (w *smallWorld) decide(index, term int) bool {
-	sent, bank := w.requests[index], w.own(term)
-	answer := bank.Answer(w.now(), sent.request)
+// answerRequest has the primary of a term answer a request.
+func (s *searchState) answerRequest(index, term int) bool {
+	sent, allocator := s.requests[index], s.mutableAllocator(term)
+	answer := allocator.Answer(s.now(), sent.request)
 	grant := &answer.Grants[0]
-	grant.RetryAfter = 0 // gateways may ask on
+	grant.RetryAfter = 0 // gateways may ask again at once
 	if grant.Operations == 0 {
 		return false
 	}
-	if w.lacks == grantsLast {
+	if s.disabled == guardGrantLife {
 		grant.Life *= 2
 	}
-	bank.counts = Counts{}
-	w.answers = append(w.answers, sentAnswer{gateway: sent.gateway, age: sent.age, answer: answer})
+	allocator.counts = Counts{}
+	s.answers = append(s.answers, sentAnswer{gateway: sent.gateway, age: sent.age, answer: answer})
 	return true
 }
 
-// book hands an answer over. It stays on its way, and so do those that other questions have brought.
-func (w *smallWorld) book(index int) bool {
-	sent := w.answers[index]
-	purse := w.purses[sent.gateway]
-	if w.lacks == bookedTwice {
-		purse.asking, purse.number = true, sent.answer.Number
+// deliverAnswer delivers an answer to its gateway. It stays in transit, and so do the answers to other requests.
+func (s *searchState) deliverAnswer(index int) bool {
+	sent := s.answers[index]
+	budget := s.budgets[sent.gateway]
+	if s.disabled == guardSingleDelivery {
+		budget.isPending, budget.number = true, sent.answer.Number
 	}
-	if w.lacks == countedLate {
-		purse.askedAt = w.now()
+	if s.disabled == guardLifeFromRequest {
+		budget.sentAt = s.now()
 	}
-	before := len(purse.accounts["t"].lots)
-	purse.ApplyAnswer(w.now(), sent.answer)
-	w.dropUseless()
-	return before != len(purse.accounts["t"].lots)
+	before := len(budget.accounts["t"].grants)
+	budget.ApplyAnswer(s.now(), sent.answer)
+	s.dropObsoleteMessages()
+	return before != len(budget.accounts["t"].grants)
 }
 
-func (w *smallWorld) mayTakeOver() bool { return w.deposed == 0 && w.tick > 0 && !w.alone }
+func (s *searchState) mayStartSecondTerm() bool {
+	return s.deposedAt == 0 && s.tick > 0 && !s.isSingleTerm
+}
 
-func (w *smallWorld) takeOver() bool {
-	w.deposed = w.tick
-	opensAt := w.now() + searchFresh*searchTick
-	if w.lacks == opensAtOnce {
-		opensAt = w.now()
+func (s *searchState) startSecondTerm() bool {
+	s.deposedAt = s.tick
+	opensAt := s.now() + searchDeposedGrants*searchTick
+	if s.disabled == guardDelayedOpening {
+		opensAt = s.now()
 	}
-	second := w.bank(opensAt)
-	if w.lacks == laterBankFull {
+	second := s.newAllocator(opensAt)
+	if s.disabled == guardEmptyStart {
 		second.buckets["t"].level = second.buckets["t"].capacity
 	}
-	w.banks = append(slices.Clone(w.banks), second)
+	s.allocators = append(slices.Clone(s.allocators), second)
 	return true
 }
 
-// forgetLimit takes the tenant out of the configuration of the present primary, and brings it back.
-func (w *smallWorld) forgetLimit() bool {
-	w.forgets = false
-	bank := w.own(len(w.banks) - 1)
-	kept := bank.buckets["t"].terms
-	bank.SetLimits(w.now(), nil)
-	bank.SetLimits(w.now(), []Limit{{Tenant: "t"}})
-	bank.buckets["t"].terms = kept
-	if w.lacks == forgottenIsFull {
-		bank.buckets["t"].level = kept.capacity
+// readdTenant removes the tenant from the configuration of the current primary, and adds it again.
+func (s *searchState) readdTenant() bool {
+	s.mayReadd = false
+	allocator := s.mutableAllocator(len(s.allocators) - 1)
+	kept := allocator.buckets["t"].parameters
+	allocator.SetLimits(s.now(), nil)
+	allocator.SetLimits(s.now(), []Limit{{Tenant: "t"}})
+	allocator.buckets["t"].parameters = kept
+	if s.disabled == guardEmptyReadd {
+		allocator.buckets["t"].level = kept.capacity
 	}
 	return true
 }
 
-// pass lets a tick pass.
-func (w *smallWorld) pass() {
-	w.tick++
-	w.most = w.inWindow()
-	w.taken = append(w.taken[1:], 0)
-	for index := range w.requests {
-		w.requests[index].age++
+// advanceTick ends the current tick.
+func (s *searchState) advanceTick() {
+	s.tick++
+	s.inWindow = s.countWindow()
+	s.taken = append(s.taken[1:], 0)
+	for index := range s.requests {
+		s.requests[index].age++
 	}
-	for index := range w.answers {
-		w.answers[index].age++
+	for index := range s.answers {
+		s.answers[index].age++
 	}
-	for _, purse := range w.purses {
-		purse.accounts["t"].dropEnded(w.now())
+	for _, budget := range s.budgets {
+		budget.accounts["t"].dropExpired(s.now())
 	}
-	w.dropUseless()
+	s.dropObsoleteMessages()
 }
 
-// dropUseless leaves out, to bound the search, what can't be booked any more: it only takes from the bank.
-func (w *smallWorld) dropUseless() {
-	isUseless := func(gateway, age int, number uint64) bool {
-		purse := w.purses[gateway]
-		isOver := age >= searchLife && w.lacks != grantsLast && w.lacks != countedLate
-		isOther := !(purse.asking && purse.number == number) && w.lacks != bookedTwice
-		return isOver || isOther
-	}
-	w.requests = slices.DeleteFunc(w.requests, func(one sentRequest) bool { return isUseless(one.gateway, one.age, one.request.Number) })
-	w.answers = slices.DeleteFunc(w.answers, func(one sentAnswer) bool { return isUseless(one.gateway, one.age, one.answer.Number) })
+// dropObsoleteMessages drops messages that can't be applied any more, to bound the search: they could only take operations from the
+// allocator.
+func (s *searchState) dropObsoleteMessages() {
+	isObsolete := func(gateway, age int, number uint64) bool {
+		budget := s.budgets[gateway]
+		isExpired := age >= searchLife && s.disabled != guardGrantLife && s.disabled != guardLifeFromRequest
+		isUnexpected := !(budget.isPending && budget.number == number) && s.disabled != guardSingleDelivery
+		return isExpired || isUnexpected
+	}
+	s.requests = slices.DeleteFunc(s.requests, func(one sentRequest) bool { return isObsolete(one.gateway, one.age, one.request.Number) })
+	s.answers = slices.DeleteFunc(s.answers, func(one sentAnswer) bool { return isObsolete(one.gateway, one.age, one.answer.Number) })
 }
 
-func (w *smallWorld) inWindow() int {
+func (s *searchState) countWindow() int {
 	sum := 0
-	for _, count := range w.taken {
+	for _, count := range s.taken {
 		sum += count
 	}
 	return sum
 }
 
-// search plays all histories, and gives the most operations in any window and how many moments there are. It stops at the first window above the rule.
-func search(gateways int, forgets bool, lacks without) (most, moments int) {
-	waiting := []*smallWorld{newSmallWorld(gateways, forgets, lacks)}
+// search explores all histories, and gives the most operations in any window and the number of states. It stops at the first window that
+// exceeds the rule.
+func search(gateways int, mayReadd bool, disabled guard) (most, states int) {
+	waiting := []*searchState{newSearchState(gateways, mayReadd, disabled)}
 	seen := map[string]struct{}{waiting[0].key(): {}}
 	for len(waiting) > 0 {
 		last := waiting[len(waiting)-1]
 		waiting = waiting[:len(waiting)-1]
-		for _, next := range last.following() {
-			if most = max(most, next.most); most > searchMost {
+		for _, next := range last.successors() {
+			if most = max(most, next.inWindow); most > searchMost {
 				return most, len(seen)
 			}
 			key := next.key()
@@ -388,27 +398,27 @@
 	return most, len(seen)
 }
 
-// QUOTA: in no history of a small world does a window hold more than the rule, and one reaches it.
-func TestSearchOfSmallWorlds(t *testing.T) {
-	for _, forgets := range []bool{false, true} {
-		most, moments := search(2, forgets, "")
+// QUOTA: in no history of the small model does a window hold more than the rule allows, and in some history a window reaches it.
+func TestNoHistoryOfASmallModelExceedsTheRule(t *testing.T) {
+	for _, mayReadd := range []bool{false, true} {
+		most, states := search(2, mayReadd, "")
 		if most != searchMost {
-			t.Fatalf("%d operations in a window, %d are allowed and can be reached", most, searchMost)
+			t.Fatalf("%d operations in a window, the rule allows %d, which a history can reach", most, searchMost)
 		}
-		t.Logf("%d moments", moments)
+		t.Logf("%d states", states)
 	}
 }
 
-// Each guard that is taken out is found.
-func TestSearchFindsEachGuard(t *testing.T) {
-	for _, guard := range searchGuards {
-		t.Run(string(guard), func(t *testing.T) {
+// The search must find a violation for each guard that is disabled.
+func TestSearchDetectsEachDisabledGuard(t *testing.T) {
+	for _, disabled := range searchGuards {
+		t.Run(string(disabled), func(t *testing.T) {
 			t.Parallel()
-			most, moments := search(2, guard == forgottenIsFull, guard)
+			most, states := search(2, disabled == guardEmptyReadd, disabled)
 			if most <= searchMost {
-				t.Fatalf("not found in %d moments", moments)
+				t.Fatalf("no window above the rule in %d states", states)
 			}
-			t.Logf("%d moments", moments)
+			t.Logf("%d states", states)
 		})
 	}
 }
