--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -40,7 +40,7 @@
 // command is something that may change the control state. It is decided at the primary, in turn.
 type command struct {
 	kind       commandKind
-	call       Call
+	call       CallID
 	order      configuration.Order
 	heartbeat  registry.Heartbeat
 	instanceID string
@@ -59,8 +59,8 @@
 }
 
 // takeOrder checks the content first: what is wrong with it is wrong everywhere and for ever.
-func (c *Controller) takeOrder(in Order) {
-	c.calls.add(in.Call, c.now+c.settings.CallWait)
+func (c *Controller) takeOrder(in ReplaceConfiguration) {
+	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
 	order, err := configuration.Parse(in.Body)
 	if err != nil {
 		c.reply(Reply{Call: in.Call, Status: contentStatus(err), Body: errorBody(err.Error())})
@@ -79,7 +79,7 @@
 }
 
 func (c *Controller) takeHeartbeat(in Heartbeat) {
-	c.calls.add(in.Call, c.now+c.settings.CallWait)
+	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
 	if c.takesForPrimary(in.Heartbeat) {
 		c.reply(Reply{Call: in.Call, Status: http.StatusOK, Body: beatBody(c.self)})
 		return
@@ -88,7 +88,7 @@
 }
 
 func (c *Controller) takeInstanceLeave(in InstanceLeave) {
-	c.calls.add(in.Call, c.now+c.settings.CallWait)
+	c.calls.add(in.Call, c.now+c.settings.CallTimeout)
 	c.queueCall(command{kind: instanceLeaves, call: in.Call, instanceID: in.InstanceID})
 }
 
@@ -129,7 +129,7 @@
 	count := min(len(c.term.commands), commandsPerBatch)
 	batch := &batch{request: c.nextRequest(), started: c.now, commands: c.term.commands[:count:count]}
 	c.term.commands = c.term.commands[count:]
-	transaction := state.NewTransaction(c.node).Lacking(c.settings.Lacking)
+	transaction := state.NewTransaction(c.node).Lacking(c.settings.DisabledGuards)
 	for index := range batch.commands {
 		c.decide(transaction, &batch.commands[index])
 	}
@@ -191,7 +191,7 @@
 	if !taken.Fresh {
 		return
 	}
-	c.stepFailover(failover.Heard{
+	c.stepFailover(failover.Heartbeat{
 		InstanceID: beat.InstanceID,
 		Service:    beat.TargetService,
 		Primary:    beat.DBRole == registry.Primary,
@@ -277,7 +277,7 @@
 		return // this controller leads no more
 	}
 	if command.kind == changeFailover {
-		c.stepFailover(failover.Changed{Request: command.change.Request})
+		c.stepFailover(failover.ChangeDecided{Request: command.change.Request})
 		return
 	}
 	c.unavailable(command.call)
@@ -293,11 +293,11 @@
 	case instanceLeaves:
 		c.reply(Reply{Call: command.call, Status: http.StatusOK})
 	case changeFailover:
-		c.stepFailover(failover.Changed{Request: command.change.Request, Committed: true})
+		c.stepFailover(failover.ChangeDecided{Request: command.change.Request, Committed: true})
 	case giveUpCopies:
 		c.reply(giveUpReply(command))
 	case doubtInstances:
-		c.stepNode(replication.DoubtsMarked{})
+		c.stepNode(replication.RestoredStateMarked{})
 		c.term.doubting = false
 	}
 }
--- a/control/controller/scenario_test.go
+++ b/control/controller/scenario_test.go
@@ -57,7 +57,7 @@
 type player struct {
 	world  *world
 	labels map[string]*call
-	dumps  map[*machine]replication.Durable
+	dumps  map[*machine]replication.DurableState
 	seed   int64
 	guards disabledGuards
 	trace  func(string)
@@ -179,7 +179,7 @@
 	case "slow":
 		w.gateway(words[1]).slow = scenario.Span(words[2])
 	case "dump":
-		s.dumps = map[*machine]replication.Durable{}
+		s.dumps = map[*machine]replication.DurableState{}
 		for _, one := range w.machines {
 			s.dumps[one] = one.disk.durable
 			kept := s.dumps[one]
@@ -274,7 +274,7 @@
 		return "none"
 	case "frozen":
 		leads := w.primary()
-		return yes(leads != nil && slices.Contains(leads.controller.Status().Frozen, "s"))
+		return yes(leads != nil && slices.Contains(leads.controller.Status().FrozenServices, "s"))
 	case "pauses":
 		return yes(w.pauses > 0)
 	case "calls":
