--- a/gateway/access.go
+++ b/gateway/access.go
@@ -7,9 +7,9 @@
 )
 
 // rejects tells whether it is known that the database takes no client with this key.
-func (d *directory) rejects(now time.Duration, database string, key access.Key) bool {
+func (d *directory) rejectsKey(now time.Duration, database string, key access.Key) bool {
 	route, known := d.routes[database]
-	if !known || !d.leased(now) {
+	if !known || !d.hasLease(now) {
 		return false
 	}
 	_, admitted := d.access.Admit(route, key)
@@ -17,13 +17,13 @@
 }
 
 // stillRouted tells whether the database's route leads where it led when a placement was made, and asks for a key if it did then.
-func (d *directory) stillRouted(placed placement) bool {
-	route, known := d.routes[placed.route.Host]
-	return known && route.TargetService == placed.route.TargetService &&
-		route.Class == placed.route.Class && route.NoAuth == placed.route.NoAuth
+func (d *directory) stillRouted(placement placement) bool {
+	route, known := d.routes[placement.route.Host]
+	return known && route.TargetService == placement.route.TargetService &&
+		route.Class == placement.route.Class && route.NoAuth == placement.route.NoAuth
 }
 
 // stillAdmits tells whether the key under which a placement was made is still good, as far as can be known.
-func (d *directory) stillAdmits(now time.Duration, placed placement) bool {
-	return d.access.StillAdmits(access.Grant{Route: placed.route, Key: placed.key, Tenant: placed.tenant}, d.keys, now)
+func (d *directory) stillAdmits(now time.Duration, placement placement) bool {
+	return d.access.StillAdmits(access.Grant{Route: placement.route, Key: placement.key, Tenant: placement.tenant}, d.keys, now)
 }
--- a/gateway/access_test.go
+++ b/gateway/access_test.go
@@ -15,8 +15,8 @@
 )
 
 // tenantsOf is a configuration like configurationOf, with tenants as given.
-func tenantsOf(number int64, tenants string) []byte {
-	plain := string(configurationOf(number, "shop"))
+func newTenantConfiguration(number int64, tenants string) []byte {
+	plain := string(newConfiguration(number, "shop"))
 	return []byte(strings.Replace(plain, `"serviceTable"`, `"tenantTable":[`+tenants+`],"serviceTable"`, 1))
 }
 
@@ -27,148 +27,148 @@
 )
 
 // publishTenants puts a configuration with tenants in force, and waits until the gateway works by it.
-func (w *world) publishTenants(sequence uint64, tenants string) {
-	w.Helper()
-	table := w.table(sequence, "i-1", false)
+func (env *testEnv) publishTenants(sequence uint64, tenants string) {
+	env.Helper()
+	table := env.table(sequence, "i-1", false)
 	table.ConfigurationNumber = int64(sequence) + 100
-	table.Configuration = tenantsOf(table.ConfigurationNumber, tenants)
-	w.controller.publish(table)
-	w.eventually("the tenants are known", func() bool { return w.controller.applied(sequence) })
+	table.Configuration = newTenantConfiguration(table.ConfigurationNumber, tenants)
+	env.controller.publish(table)
+	env.eventually("the tenants are known", func() bool { return env.controller.hasApplied(sequence) })
 }
 
 // UNASKED: an instance ran statements for a word that is no tenant of theirs.
 func TestInstancesAreToldTheTenantAndNoKey(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	w.publishTenants(2, bakers+","+smiths)
-	w.connect("flour").must("PUT a 1", "COMPLETE stamp / I")
-	w.connect("anvil").must("PUT b 2", "COMPLETE stamp / I")
-	w.connect("yeast").must("PUT c 3", "COMPLETE stamp / I")
+	env := startEnv(t)
+	env.publishTenants(2, bakers+","+smiths)
+	env.connect("flour").expect("PUT a 1", "COMPLETE stamp / I")
+	env.connect("anvil").expect("PUT b 2", "COMPLETE stamp / I")
+	env.connect("yeast").expect("PUT c 3", "COMPLETE stamp / I")
 	var told []string
-	for _, one := range w.first.asked() {
-		told = append(told, one.who)
+	for _, one := range env.first.clientStatements() {
+		told = append(told, one.user)
 	}
 	is.Equal(told, []string{"bakers", "smiths", "bakers"})
-	is.Equal(w.first.dials(), 2) // the bakers' connection is used again
+	is.Equal(env.first.dials(), 2) // the bakers' connection is used again
 }
 
 // ROUTE: statements of a client ran whose key no configuration had ever held.
 func TestUnknownKeysAreTurnedAway(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	w.publishTenants(2, bakers)
-	stranger := w.dial("stranger")
+	env := startEnv(t)
+	env.publishTenants(2, bakers)
+	stranger := env.dial("stranger")
 	stranger.send("CONNECT shop flour2")
 	line, err := stranger.reader.ReadLine()
 	is.NoErr(err)
 	is.Equal(line, "ERROR AUTHFAIL")
 	is.Equal(stranger.answer(), "end")
-	is.Equal(len(w.first.asked()), 0)
+	is.Equal(len(env.first.clientStatements()), 0)
 }
 
 // CONFIG: statements ran with a key that had been taken away, in sessions that were open.
 func TestKeyThatWasTakenAwayIsOfNoUseInOpenSessions(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	w.publishTenants(2, bakers)
-	idle, inside, committing, kept := w.connect("flour"), w.connect("flour"), w.connect("flour"), w.connect("yeast")
-	inside.must("BEGIN", "COMPLETE stamp / T")
-	committing.must("BEGIN", "COMPLETE stamp / T")
-	committing.must("PUT a 1", "COMPLETE stamp / T")
+	env := startEnv(t)
+	env.publishTenants(2, bakers)
+	idle, inside, committing, kept := env.connect("flour"), env.connect("flour"), env.connect("flour"), env.connect("yeast")
+	inside.expect("BEGIN", "COMPLETE stamp / T")
+	committing.expect("BEGIN", "COMPLETE stamp / T")
+	committing.expect("PUT a 1", "COMPLETE stamp / T")
 
-	w.publishTenants(3, noBakers)
-	idle.must("FETCH a", "ERROR AUTHFAIL / I")
-	inside.must("PUT a 2", "ERROR ROLLEDBACK / E")
-	committing.must("COMMIT", "ERROR ROLLEDBACK / I")
-	kept.must("PUT b 3", "COMPLETE stamp / I")
-	is.Equal(w.first.read("a"), "")
-	is.Equal(w.first.read("b"), "3")
+	env.publishTenants(3, noBakers)
+	idle.expect("FETCH a", "ERROR AUTHFAIL / I")
+	inside.expect("PUT a 2", "ERROR ROLLEDBACK / E")
+	committing.expect("COMMIT", "ERROR ROLLEDBACK / I")
+	kept.expect("PUT b 3", "COMPLETE stamp / I")
+	is.Equal(env.first.read("a"), "")
+	is.Equal(env.first.read("b"), "3")
 }
 
 // CONFIG: a key that a new configuration brought was refused.
 func TestKeyThatWasAddedIsServed(t *testing.T) {
-	w := startWorld(t)
-	w.publishTenants(2, noBakers)
-	w.publishTenants(3, bakers)
-	w.connect("flour").must("PUT a 1", "COMPLETE stamp / I")
+	env := startEnv(t)
+	env.publishTenants(2, noBakers)
+	env.publishTenants(3, bakers)
+	env.connect("flour").expect("PUT a 1", "COMPLETE stamp / I")
 }
 
 // QUOTA: a tenant got more than its limit.
 func TestOperationsBeyondTheLimitAreRefusedUnsent(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	w.publishTenants(2, bakers+","+smiths)
-	w.controller.set(func(s *standinController) { s.grants = 2 })
-	c := w.connect("flour")
-	c.must("PUT a 1", "COMPLETE stamp / I")
-	c.must("BEGIN", "COMPLETE stamp / T")
-	c.must("PUT a 2", "COMPLETE stamp / T") // a transaction is one operation
-	c.must("COMMIT", "COMPLETE stamp / I")
-	c.must("PUT a 3", "ERROR BUSY / I")
-	c.must("FETCH a", "ERROR BUSY / I")
-	w.connect("yeast").must("BEGIN", "ERROR BUSY / I") // another key of the same tenant
-	is.Equal(w.figure("operations_over_limit_total"), 3.0)
-	is.Equal(len(w.first.asked()), 4)
+	env := startEnv(t)
+	env.publishTenants(2, bakers+","+smiths)
+	env.controller.change(func(s *fakeController) { s.operationsLeft = 2 })
+	c := env.connect("flour")
+	c.expect("PUT a 1", "COMPLETE stamp / I")
+	c.expect("BEGIN", "COMPLETE stamp / T")
+	c.expect("PUT a 2", "COMPLETE stamp / T") // a transaction is one operation
+	c.expect("COMMIT", "COMPLETE stamp / I")
+	c.expect("PUT a 3", "ERROR BUSY / I")
+	c.expect("FETCH a", "ERROR BUSY / I")
+	env.connect("yeast").expect("BEGIN", "ERROR BUSY / I") // another key of the same tenant
+	is.Equal(env.figure("operations_over_limit_total"), 3.0)
+	is.Equal(len(env.first.clientStatements()), 4)
 }
 
 // patientTenants is a configuration with tenants whose statements wait for up to 0.8 s to be offered.
-func patientTenants(number int64, tenants string) []byte {
-	return []byte(strings.Replace(string(tenantsOf(number, tenants)), `"targetLatencyMs":400`, `"targetLatencyMs":4000`, 1))
+func newPatientConfiguration(number int64, tenants string) []byte {
+	return []byte(strings.Replace(string(newTenantConfiguration(number, tenants)), `"targetLatencyMs":400`, `"targetLatencyMs":4000`, 1))
 }
 
 // QUOTA: a statement that came while the gateway had no lease ran uncounted once the lease was back.
 func TestOperationThatWaitedForTheLeaseIsCounted(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	table := w.table(2, "i-1", false)
-	table.ConfigurationNumber, table.Configuration = 102, patientTenants(102, bakers)
-	w.controller.publish(table)
-	w.eventually("the tenants are known", func() bool { return w.controller.applied(2) })
-	c := w.connect("flour")
-	w.controller.set(func(s *standinController) { s.grants, s.silent = 0, true })
-	w.eventually("the lease is over", func() bool { return w.readiness() != http.StatusOK })
+	env := startEnv(t)
+	table := env.table(2, "i-1", false)
+	table.ConfigurationNumber, table.Configuration = 102, newPatientConfiguration(102, bakers)
+	env.controller.publish(table)
+	env.eventually("the tenants are known", func() bool { return env.controller.hasApplied(2) })
+	c := env.connect("flour")
+	env.controller.change(func(s *fakeController) { s.operationsLeft, s.isSilent = 0, true })
+	env.eventually("the lease is over", func() bool { return env.readiness() != http.StatusOK })
 	c.start("PUT a 1")
 	time.Sleep(50 * time.Millisecond) // the statement is read meanwhile: nothing else shows it
-	w.controller.set(func(s *standinController) { s.silent = false })
+	env.controller.change(func(s *fakeController) { s.isSilent = false })
 	is.Equal(c.answer(), "ERROR BUSY / I")
-	is.Equal(len(w.first.asked()), 0)
+	is.Equal(len(env.first.clientStatements()), 0)
 }
 
 // QUOTA: an operation that was counted for one tenant ran for another, to whom its key had been passed on meanwhile.
 func TestOperationIsCountedForTheTenantItRunsFor(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
+	env := startEnv(t)
 	published := func(sequence uint64, frozen bool, tenants string) {
-		table := w.table(sequence, "i-1", frozen)
-		table.ConfigurationNumber, table.Configuration = int64(100+sequence), patientTenants(int64(100+sequence), tenants)
-		w.controller.publish(table)
-		w.eventually("the table is known", func() bool { return w.controller.applied(sequence) })
+		table := env.table(sequence, "i-1", frozen)
+		table.ConfigurationNumber, table.Configuration = int64(100+sequence), newPatientConfiguration(int64(100+sequence), tenants)
+		env.controller.publish(table)
+		env.eventually("the table is known", func() bool { return env.controller.hasApplied(sequence) })
 	}
 	published(2, true, bakers)
-	c := w.connect("flour")
-	w.controller.set(func(s *standinController) { s.grants = 1 })
+	c := env.connect("flour")
+	env.controller.change(func(s *fakeController) { s.operationsLeft = 1 })
 	c.start("PUT a 1")
-	w.eventually("the operation is granted", func() bool { return w.controller.left() == 0 })
+	env.eventually("the operation is granted", func() bool { return env.controller.remainingOperations() == 0 })
 	published(3, false, `{"name":"smiths","apiKeys":["flour"],"ratePerS":100,"burstSize":100}`)
 	is.Equal(c.answer(), "ERROR BUSY / I")
-	is.Equal(len(w.first.asked()), 0)
+	is.Equal(len(env.first.clientStatements()), 0)
 }
 
 // QUOTA: a read that may have run at a replica ran again at another instance, and was counted once.
 func TestReadThatIsOfferedElsewhereIsCountedAgain(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	table := w.table(2, "i-1", false)
+	env := startEnv(t)
+	table := env.table(2, "i-1", false)
 	table.ConfigurationNumber = 8
 	table.Configuration = []byte(strings.Replace(readRoutes, `"serviceTable"`, `"tenantTable":[`+bakers+`],"serviceTable"`, 1))
-	w.controller.publish(table)
-	w.eventually("the tenants are known", func() bool { return w.controller.applied(2) })
-	w.controller.set(func(s *standinController) { s.grants = 2 })
-	w.connectTo("shop", "flour").must("FETCH a", `COMPLETE stamp [""] / I`) // the leader names a position
-	w.second.on(func(wire.Statement) mishap { return cutAfter })
-	w.connectTo("browse", "flour").must("FETCH x", "ERROR BUSY / I")
-	is.Equal(len(w.second.asked()), 1)
-	is.Equal(len(w.first.asked()), 1)
+	env.controller.publish(table)
+	env.eventually("the tenants are known", func() bool { return env.controller.hasApplied(2) })
+	env.controller.change(func(s *fakeController) { s.operationsLeft = 2 })
+	env.connectTo("shop", "flour").expect("FETCH a", `COMPLETE stamp [""] / I`) // the leader names a position
+	env.second.setIntercept(func(wire.Statement) fault { return cutAfter })
+	env.connectTo("browse", "flour").expect("FETCH x", "ERROR BUSY / I")
+	is.Equal(len(env.second.clientStatements()), 1)
+	is.Equal(len(env.first.clientStatements()), 1)
 }
 
 // QUOTA: a statement whose instance had begun it, and said that nothing of it is kept, was taken for one that never ran.
@@ -185,74 +185,74 @@
 }
 
 func TestRouteWithoutAuthenticationTakesAnyWord(t *testing.T) {
-	w := startWorld(t)
-	table := w.table(2, "i-1", false)
+	env := startEnv(t)
+	table := env.table(2, "i-1", false)
 	table.ConfigurationNumber = 102
-	table.Configuration = []byte(strings.Replace(string(tenantsOf(102, bakers)), `"pathPrefix"`, `"noAuth":true,"pathPrefix"`, 1))
-	w.controller.publish(table)
-	w.eventually("the tenants are known", func() bool { return w.controller.applied(2) })
-	w.connect("anybody").must("PUT a 1", "COMPLETE stamp / I")
+	table.Configuration = []byte(strings.Replace(string(newTenantConfiguration(102, bakers)), `"pathPrefix"`, `"noAuth":true,"pathPrefix"`, 1))
+	env.controller.publish(table)
+	env.eventually("the tenants are known", func() bool { return env.controller.hasApplied(2) })
+	env.connect("anybody").expect("PUT a 1", "COMPLETE stamp / I")
 }
 
 // CONFIG: a gateway that was cut off went on running the statements of transactions whose key had been taken away meanwhile.
 func TestKeysAreNotTrustedForLongWithoutNews(t *testing.T) {
 	is := is.New(t)
-	held := newDirectory()
-	held.keys.Lasting = 4 * time.Second
-	table := tableOf(1, "i-1", false)
-	table.Configuration = tenantsOf(7, bakers)
-	_, err := held.take(0, 0, feed.WatchAnswer{Table: table, Lease: 3 * time.Second})
+	directory := newDirectory()
+	directory.keys.Lasting = 4 * time.Second
+	table := newTable(1, "i-1", false)
+	table.Configuration = newTenantConfiguration(7, bakers)
+	_, err := directory.apply(0, 0, feed.WatchAnswer{Table: table, Lease: 3 * time.Second})
 	is.NoErr(err)
-	found, why := held.placeFor(time.Second, "shop", access.NewKey("flour"))
-	is.Equal(why, placed)
-	is.Equal(found.tenant, "bakers")
-	is.True(held.stillAdmits(4*time.Second-1, found))
-	is.True(!held.stillAdmits(4*time.Second, found))
-	held.keys.Lasting = 0 // where keys bind only machines that are in touch
-	is.True(held.stillAdmits(time.Hour, found))
-	_, why = held.placeFor(time.Second, "shop", access.NewKey("stranger"))
-	is.Equal(why, unknownKey)
+	placement, reason := directory.placeForKey(time.Second, "shop", access.NewKey("flour"))
+	is.Equal(reason, notRefused)
+	is.Equal(placement.tenant, "bakers")
+	is.True(directory.stillAdmits(4*time.Second-1, placement))
+	is.True(!directory.stillAdmits(4*time.Second, placement))
+	directory.keys.Lasting = 0 // where keys bind only machines that are in touch
+	is.True(directory.stillAdmits(time.Hour, placement))
+	_, reason = directory.placeForKey(time.Second, "shop", access.NewKey("stranger"))
+	is.Equal(reason, keyRejected)
 	is.Equal(wire.AuthFail.Promise(), false)
 }
 
 // ROUTE: sessions with keys that nobody holds stayed open once a statement of theirs had been refused.
 func TestRefusedKeyLeavesNothingBehind(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	w.publishTenants(2, bakers)
-	idle, inside, kept := w.connect("flour"), w.connect("flour"), w.connect("yeast")
-	inside.must("BEGIN", "COMPLETE stamp / T")
-	inside.must("PUT a 1", "COMPLETE stamp / T")
-	w.publishTenants(3, noBakers)
-	idle.must("FETCH a", "ERROR AUTHFAIL / I")
-	idle.gets("end")
-	inside.must("PUT a 2", "ERROR ROLLEDBACK / E")
-	is.Equal(w.figure("flights"), 0.0)
-	inside.must("ABORT", "COMPLETE - / I")
-	inside.must("BEGIN", "ERROR AUTHFAIL / I")
-	inside.gets("end")
-	w.eventually("their sessions are gone", func() bool { return w.figure("sessions") == 1 })
-	kept.must("PUT b 3", "COMPLETE stamp / I")
-	is.Equal(w.first.dials(), 1) // the connection of the refused ones is lent again
-	is.Equal(w.first.read("a"), "")
+	env := startEnv(t)
+	env.publishTenants(2, bakers)
+	idle, inside, kept := env.connect("flour"), env.connect("flour"), env.connect("yeast")
+	inside.expect("BEGIN", "COMPLETE stamp / T")
+	inside.expect("PUT a 1", "COMPLETE stamp / T")
+	env.publishTenants(3, noBakers)
+	idle.expect("FETCH a", "ERROR AUTHFAIL / I")
+	idle.expectAnswer("end")
+	inside.expect("PUT a 2", "ERROR ROLLEDBACK / E")
+	is.Equal(env.figure("flights"), 0.0)
+	inside.expect("ABORT", "COMPLETE - / I")
+	inside.expect("BEGIN", "ERROR AUTHFAIL / I")
+	inside.expectAnswer("end")
+	env.eventually("their sessions are gone", func() bool { return env.figure("sessions") == 1 })
+	kept.expect("PUT b 3", "COMPLETE stamp / I")
+	is.Equal(env.first.dials(), 1) // the connection of the refused ones is lent again
+	is.Equal(env.first.read("a"), "")
 }
 
 // ROUTE: a client without a key that came while no configuration was known, or no lease held, was let through to an instance.
 func TestStrangerWhoCameEarlyIsRefusedAtTheFirstStatement(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	early := w.connect("stranger") // under a configuration without tenants
-	w.publishTenants(2, bakers)
-	w.controller.set(func(s *standinController) { s.silent = true })
-	w.eventually("the lease is lost", func() bool { return w.figure("lease_left_seconds") < 0 })
-	late := w.connect("stranger")
-	late.must("FETCH a", "ERROR BUSY / I")
+	env := startEnv(t)
+	early := env.connect("stranger") // under a configuration without tenants
+	env.publishTenants(2, bakers)
+	env.controller.change(func(s *fakeController) { s.isSilent = true })
+	env.eventually("the lease is lost", func() bool { return env.figure("lease_left_seconds") < 0 })
+	late := env.connect("stranger")
+	late.expect("FETCH a", "ERROR BUSY / I")
 	late.start("PUT a 1")
-	w.controller.set(func(s *standinController) { s.silent = false })
-	w.eventually("the lease is back", func() bool { return w.figure("lease_left_seconds") > 0 })
+	env.controller.change(func(s *fakeController) { s.isSilent = false })
+	env.eventually("the lease is back", func() bool { return env.figure("lease_left_seconds") > 0 })
 	_ = late.answer() // BUSY, or AUTHFAIL if the lease came back in time
-	early.must("PUT a 2", "ERROR AUTHFAIL / I")
-	is.Equal(len(w.first.asked()), 0)
+	early.expect("PUT a 2", "ERROR AUTHFAIL / I")
+	is.Equal(len(env.first.clientStatements()), 0)
 }
 
 // ROUTE: a statement that waited while its route began to ask for keys, or to lead elsewhere, was sent as the old route had it.
@@ -265,22 +265,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			held := newDirectory()
-			table := tableOf(1, "i-1", false)
-			plain := strings.Replace(string(tenantsOf(7, bakers)), `"pathPrefix"`, `"noAuth":true,"pathPrefix"`, 1)
+			directory := newDirectory()
+			table := newTable(1, "i-1", false)
+			plain := strings.Replace(string(newTenantConfiguration(7, bakers)), `"pathPrefix"`, `"noAuth":true,"pathPrefix"`, 1)
 			table.Configuration = []byte(strings.Replace(plain, `"serviceTable":[`, `"serviceTable":[{"name":"other"},`, 1))
-			_, err := held.take(0, 0, feed.WatchAnswer{Table: table, Lease: 3 * time.Second})
+			_, err := directory.apply(0, 0, feed.WatchAnswer{Table: table, Lease: 3 * time.Second})
 			is.NoErr(err)
-			found, why := held.placeFor(time.Second, "shop", access.NewKey("stranger"))
-			is.Equal(why, placed)
-			next := tableOf(2, "i-1", false)
+			placement, reason := directory.placeForKey(time.Second, "shop", access.NewKey("stranger"))
+			is.Equal(reason, notRefused)
+			next := newTable(2, "i-1", false)
 			next.ConfigurationNumber = 8
 			body := strings.Replace(string(table.Configuration), `"configRevision":7`, `"configRevision":8`, 1)
 			next.Configuration = []byte(strings.Replace(body, change[0], change[1], 1))
-			_, err = held.take(time.Second, time.Second, feed.WatchAnswer{Table: next, Lease: 3 * time.Second})
+			_, err = directory.apply(time.Second, time.Second, feed.WatchAnswer{Table: next, Lease: 3 * time.Second})
 			is.NoErr(err)
-			is.Equal(held.mayBegin(time.Second, found), name == "nothing")
-			is.True(held.mayOpen(time.Second, found)) // a transaction that has begun goes on
+			is.Equal(directory.mayBegin(time.Second, placement), name == "nothing")
+			is.True(directory.mayOpen(time.Second, placement)) // a transaction that has begun goes on
 		})
 	}
 }
@@ -288,58 +288,58 @@
 // ROUTE: words that are nearly a key must not do.
 func TestOnlyTheVeryKeyIsKnown(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	w.publishTenants(2, bakers)
+	env := startEnv(t)
+	env.publishTenants(2, bakers)
 	for _, line := range []string{
 		"CONNECT shop Flour", "CONNECT shop flour\t", "CONNECT shop flou", "CONNECT shop flourflour", "CONNECT shop bakers", "CONNECT shop edge-1",
 		"CONNECT shop flour\x00", "CONNECT shop -", "CONNECT shop " + strings.Repeat("flour", 100_000),
 		"CONNECT shop flour i-1", "CONNECT shop flour ", "CONNECT shop  flour", "CONNECT shop", "CONNECT shop flour flour",
 		"CONNECT shop " + strings.Repeat("f", 1<<20),
 	} {
-		one := w.dial("stranger")
+		one := env.dial("stranger")
 		one.send(line)
 		answer, _ := one.reader.ReadLine()
 		is.True(answer == "ERROR AUTHFAIL" || answer == "ERROR MALFORMED" || answer == "") // "": reset while the line was too long
-		one.gets("end")
+		one.expectAnswer("end")
 	}
-	w.connect("flour").must("PUT a 1", "COMPLETE stamp / I")
-	is.Equal(len(w.first.asked()), 1)
+	env.connect("flour").expect("PUT a 1", "COMPLETE stamp / I")
+	is.Equal(len(env.first.clientStatements()), 1)
 }
 
 // ROUTE: an address that another instance, or another service, uses again must run nothing of the one that had it before.
 func TestAddressThatIsUsedAgainRunsNothing(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	w.publishTenants(2, bakers)
-	c := w.connect("flour")
-	c.must("PUT a 1", "COMPLETE stamp / I")
-	gone := w.table(3, "i-9", false)
-	gone.ConfigurationNumber, gone.Configuration = 103, tenantsOf(103, bakers)
-	gone.Services[0].Instances = []feed.Instance{instance("i-9", w.first.address())} // where i-1 listens
-	w.controller.publish(gone)
-	w.eventually("the table is known", func() bool { return w.controller.applied(3) })
-	c.must("PUT a 2", "ERROR BUSY / I")
-	other := w.table(4, "i-1", false)
+	env := startEnv(t)
+	env.publishTenants(2, bakers)
+	c := env.connect("flour")
+	c.expect("PUT a 1", "COMPLETE stamp / I")
+	gone := env.table(3, "i-9", false)
+	gone.ConfigurationNumber, gone.Configuration = 103, newTenantConfiguration(103, bakers)
+	gone.Services[0].Instances = []feed.Instance{newInstance("i-9", env.first.address())} // where i-1 listens
+	env.controller.publish(gone)
+	env.eventually("the table is known", func() bool { return env.controller.hasApplied(3) })
+	c.expect("PUT a 2", "ERROR BUSY / I")
+	other := env.table(4, "i-1", false)
 	other.ConfigurationNumber = 104
-	other.Configuration = []byte(strings.ReplaceAll(string(tenantsOf(104, bakers)), "orders", "others"))
+	other.Configuration = []byte(strings.ReplaceAll(string(newTenantConfiguration(104, bakers)), "orders", "others"))
 	other.Services[0].Name = "others" // i-1 is of the service orders
-	w.controller.publish(other)
-	w.eventually("the table is known", func() bool { return w.controller.applied(4) })
-	c.must("PUT a 3", "ERROR BUSY / I")
-	is.Equal(len(w.first.asked()), 1)
+	env.controller.publish(other)
+	env.eventually("the table is known", func() bool { return env.controller.hasApplied(4) })
+	c.expect("PUT a 3", "ERROR BUSY / I")
+	is.Equal(len(env.first.clientStatements()), 1)
 }
 
 // CONFIG, UNASKED: the ABORT of a client reached an instance, with the client's id and under its former tenant, after its key had been taken away.
 func TestAbortWithKeyThatWasTakenAwayReachesNoInstance(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	w.publishTenants(2, bakers)
-	leaving := w.connect("flour")
-	leaving.must("BEGIN", "COMPLETE stamp / T")
-	leaving.must("PUT a 1", "COMPLETE stamp / T")
-	w.publishTenants(3, noBakers)
+	env := startEnv(t)
+	env.publishTenants(2, bakers)
+	leaving := env.connect("flour")
+	leaving.expect("BEGIN", "COMPLETE stamp / T")
+	leaving.expect("PUT a 1", "COMPLETE stamp / T")
+	env.publishTenants(3, noBakers)
 	leaving.ask("ABORT")
-	for _, text := range w.first.texts() {
+	for _, text := range env.first.texts() {
 		is.True(!strings.HasSuffix(text, " ABORT") || strings.HasPrefix(text, "- "))
 	}
 }
--- a/gateway/backends.go
+++ b/gateway/backends.go
@@ -10,20 +10,20 @@
 type dialReason int
 
 const (
-	firstOfTenant dialReason = iota // the tenant had none at the instance
-	othersLent                      // all that it had were lent
-	afterGaveWay                    // its last one gave way to another tenant's, or to the instance's limit
-	afterExpired                    // its last one had been unused for too long
-	afterBroken                     // its last one was closed with a statement or transaction, or by the instance
-	dialReasons                     // how many there are
+	firstOfTenant   dialReason = iota // the tenant had none at the instance
+	allInUse                          // all that it had were lent
+	afterEviction                     // its last one gave way to another tenant's, or to the instance's limit
+	afterExpired                      // its last one had been unused for too long
+	afterBroken                       // its last one was closed with a statement or transaction, or by the instance
+	dialReasonCount                   // how many there are
 )
 
 // dialReasonNames are those of the figures.
-var dialReasonNames = [dialReasons]string{"first", "others_lent", "gave_way", "expired", "broken"}
+var dialReasonNames = [dialReasonCount]string{"first", "others_lent", "gave_way", "expired", "broken"}
 
 // backendCounts counts connections to instances, over all pools and since the start.
 type backendCounts struct {
-	made    [dialReasons]atomic.Uint64
+	made    [dialReasonCount]atomic.Uint64
 	limited atomic.Uint64 // refused with CONNLIMIT
 	refused atomic.Uint64 // refused otherwise
 	failed  atomic.Uint64 // not answered
--- a/gateway/counters.go
+++ b/gateway/counters.go
@@ -15,35 +15,35 @@
 
 // counters count what clients were told since the start.
 type counters struct {
-	completed  atomic.Uint64
-	busy       atomic.Uint64
-	rolledBack atomic.Uint64
-	inDoubt    atomic.Uint64
-	timedOut   atomic.Uint64
-	malformed  atomic.Uint64
-	noDatabase atomic.Uint64
-	unknownKey atomic.Uint64
-	overLimit  atomic.Uint64 // operations that their tenants' limits didn't allow
-
-	operationQuestions atomic.Uint64 // for operations of tenants
-	operationFailures  atomic.Uint64 // of those: not answered
-
-	otherError atomic.Uint64
-	ended      atomic.Uint64 // transactions that rested for too long
+	completed   atomic.Uint64
+	busy        atomic.Uint64
+	rolledBack  atomic.Uint64
+	inDoubt     atomic.Uint64
+	timedOut    atomic.Uint64
+	malformed   atomic.Uint64
+	noDatabase  atomic.Uint64
+	keyRejected atomic.Uint64
+	overLimit   atomic.Uint64 // operations that their tenants' limits didn't allow
+
+	operationRequests       atomic.Uint64 // for operations of tenants
+	failedOperationRequests atomic.Uint64 // of those: not answered
+
+	otherError       atomic.Uint64
+	idleTransactions atomic.Uint64 // transactions that rested for too long
 
 	replicaReads atomic.Uint64 // reads that replicas ran
 	lagging      atomic.Uint64 // reads that a replica was too far behind for
 
-	broken atomic.Uint64 // invariants
+	brokenInvariants atomic.Uint64 // invariants
 
-	leaseLost bool   // belongs to the gateway's lock: a line has been written
-	printed   totals // belongs to the loop that prints
+	isLeaseLossLogged bool   // belongs to the gateway's lock: a line has been written
+	lastLogged        totals // belongs to the loop that prints
 }
 
 // totals is what is printed.
 type totals struct {
-	completed, busy, rolledBack, inDoubt, timedOut, malformed, noDatabase, unknownKey, overLimit, otherError, ended uint64
-	replicaReads, lagging                                                                                           uint64
+	completed, busy, rolledBack, inDoubt, timedOut, malformed, noDatabase, keyRejected, overLimit, otherError, idleTransactions uint64
+	replicaReads, lagging                                                                                                       uint64
 }
 
 // answered counts an answer to a client.
@@ -64,7 +64,7 @@
 	case wire.NoDB:
 		c.noDatabase.Add(1)
 	case wire.AuthFail:
-		c.unknownKey.Add(1)
+		c.keyRejected.Add(1)
 	default:
 		c.otherError.Add(1)
 	}
@@ -72,17 +72,17 @@
 
 func (c *counters) totals() totals {
 	return totals{
-		completed:  c.completed.Load(),
-		busy:       c.busy.Load(),
-		rolledBack: c.rolledBack.Load(),
-		inDoubt:    c.inDoubt.Load(),
-		timedOut:   c.timedOut.Load(),
-		malformed:  c.malformed.Load(),
-		noDatabase: c.noDatabase.Load(),
-		unknownKey: c.unknownKey.Load(),
-		overLimit:  c.overLimit.Load(),
-		otherError: c.otherError.Load(),
-		ended:      c.ended.Load(),
+		completed:        c.completed.Load(),
+		busy:             c.busy.Load(),
+		rolledBack:       c.rolledBack.Load(),
+		inDoubt:          c.inDoubt.Load(),
+		timedOut:         c.timedOut.Load(),
+		malformed:        c.malformed.Load(),
+		noDatabase:       c.noDatabase.Load(),
+		keyRejected:      c.keyRejected.Load(),
+		overLimit:        c.overLimit.Load(),
+		otherError:       c.otherError.Load(),
+		idleTransactions: c.idleTransactions.Load(),
 
 		replicaReads: c.replicaReads.Load(),
 		lagging:      c.lagging.Load(),
@@ -90,23 +90,23 @@
 }
 
 // printCounters writes one line if anything was counted since the last.
-func (g *Gateway) printCounters() {
-	now := g.counters.totals()
-	if now == g.counters.printed {
+func (g *Gateway) logCounters() {
+	totals := g.counters.totals()
+	if totals == g.counters.lastLogged {
 		return
 	}
-	g.counters.printed = now
+	g.counters.lastLogged = totals
 	g.log.WithFields(logrus.Fields{
-		"completed": now.completed, "busy": now.busy, "rolledback": now.rolledBack, "indoubt": now.inDoubt,
-		"timeout": now.timedOut, "malformed": now.malformed, "nodb": now.noDatabase, "authfail": now.unknownKey, "over_limit": now.overLimit, "other": now.otherError,
-		"at_replicas": now.replicaReads, "lagging": now.lagging,
-		"idle_ended": now.ended, "sessions": g.sessions(), "backends": g.backendsOpen(), "dials": g.backends.total(),
-		"refused": g.backends.refused.Load() + g.backends.limited.Load(), "connlimit": g.backends.limited.Load(),
+		"completed": totals.completed, "busy": totals.busy, "rolledback": totals.rolledBack, "indoubt": totals.inDoubt,
+		"timeout": totals.timedOut, "malformed": totals.malformed, "nodb": totals.noDatabase, "authfail": totals.keyRejected, "over_limit": totals.overLimit, "other": totals.otherError,
+		"at_replicas": totals.replicaReads, "lagging": totals.lagging,
+		"idle_ended": totals.idleTransactions, "sessions": g.sessionCount(), "backends": g.openBackends(), "dials": g.backendCounts.total(),
+		"refused": g.backendCounts.refused.Load() + g.backendCounts.limited.Load(), "connlimit": g.backendCounts.limited.Load(),
 	}).Info("counters")
 }
 
 // reports gathers for the controller what was met at instances.
-type reports struct {
+type instanceReports struct {
 	urgent chan struct{} // takes a word when a connection has broken or could not be made; holds one
 
 	mutex      sync.Mutex
@@ -114,28 +114,28 @@
 }
 
 // entry is called with the lock held.
-func (r *reports) entry(instanceID string) *feed.InstanceReport {
+func (r *instanceReports) entry(instanceID string) *feed.InstanceReport {
 	if r.byInstance == nil {
 		r.byInstance = map[string]*feed.InstanceReport{}
 	}
-	present := r.byInstance[instanceID]
-	if present == nil {
-		present = &feed.InstanceReport{InstanceID: instanceID}
-		r.byInstance[instanceID] = present
+	report := r.byInstance[instanceID]
+	if report == nil {
+		report = &feed.InstanceReport{InstanceID: instanceID}
+		r.byInstance[instanceID] = report
 	}
-	return present
+	return report
 }
 
 // failed counts a connection that could not be made or broke. The controller should hear of it at once: it may be the
 // first sign that a leader is gone.
-func (r *reports) failed(instanceID string) {
+func (r *instanceReports) failed(instanceID string) {
 	r.mutex.Lock()
 	r.entry(instanceID).Failures++
 	r.mutex.Unlock()
-	r.hurry()
+	r.signalUrgent()
 }
 
-func (r *reports) hurry() {
+func (r *instanceReports) signalUrgent() {
 	select {
 	case r.urgent <- struct{}{}:
 	default:
@@ -143,26 +143,26 @@
 }
 
 // answered counts what came of a statement.
-func (r *reports) answered(instanceID string, outcome session.Outcome) {
+func (r *instanceReports) answered(instanceID string, outcome session.Outcome) {
 	if outcome.Kind == session.Lost {
 		r.failed(instanceID)
 		return
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	met := r.entry(instanceID)
+	report := r.entry(instanceID)
 	switch {
 	case outcome.Kind != session.Answered:
-		met.Failures++
+		report.Failures++
 	case outcome.Answer.Code == wire.ReadOnly:
-		met.ReadOnly++
+		report.ReadOnly++
 	default:
-		met.Answers++
+		report.Answers++
 	}
 }
 
 // take hands out what was gathered, and begins anew.
-func (r *reports) take() []feed.InstanceReport {
+func (r *instanceReports) take() []feed.InstanceReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	select {
@@ -170,8 +170,8 @@
 	default:
 	}
 	var taken []feed.InstanceReport
-	for _, met := range r.byInstance {
-		taken = append(taken, *met)
+	for _, report := range r.byInstance {
+		taken = append(taken, *report)
 	}
 	r.byInstance = nil
 	slices.SortFunc(taken, func(a, b feed.InstanceReport) int { return strings.Compare(a.InstanceID, b.InstanceID) })
@@ -179,22 +179,22 @@
 }
 
 // putBack adds what was handed out and didn't arrive.
-func (r *reports) putBack(taken []feed.InstanceReport) {
+func (r *instanceReports) putBack(taken []feed.InstanceReport) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, met := range taken {
-		present := r.entry(met.InstanceID)
-		present.Answers += met.Answers
-		present.Failures += met.Failures
-		present.ReadOnly += met.ReadOnly
+	for _, report := range taken {
+		current := r.entry(report.InstanceID)
+		current.Answers += report.Answers
+		current.Failures += report.Failures
+		current.ReadOnly += report.ReadOnly
 	}
 }
 
 // backendsOpen is how many connections to instances there are, with those that are being made.
-func (g *Gateway) backendsOpen() int {
+func (g *Gateway) openBackends() int {
 	open := 0
-	for _, kept := range g.allPools() {
-		open += kept.size()
+	for _, pool := range g.allPools() {
+		open += pool.size()
 	}
 	return open
 }
--- a/gateway/directory.go
+++ b/gateway/directory.go
@@ -14,17 +14,17 @@
 // lease. It decides where a statement may go and whether an answer may still be passed on. It does no I/O and knows
 // no clock: now is the steady time.
 type directory struct {
-	table      feed.Table
-	digest     uint64 // of its services
-	wantsWhole bool   // changes that came don't follow on the table held
-	limits     configuration.Limits
-	routes     map[string]configuration.Route // by database name
-	services   map[string]*service
-	most       map[string]int // connections that the configuration allows at an instance, by service
-	lease      time.Duration  // the length of the newest one
-	leaseUntil time.Duration
-	lapses     uint64 // how often the lease had run out when it was renewed
-	drains     *feed.DrainDeadlines
+	table          feed.Table
+	servicesDigest uint64 // of its services
+	needsFullTable bool   // changes that came don't follow on the table held
+	limits         configuration.Limits
+	routes         map[string]configuration.Route // by database name
+	services       map[string]*service
+	maxConnections map[string]int // connections that the configuration allows at an instance, by service
+	leaseLength    time.Duration  // the length of the newest one
+	leaseUntil     time.Duration
+	leaseLapses    uint64 // how often the lease had run out when it was renewed
+	drains         *feed.DrainDeadlines
 
 	access access.Table
 	keys   access.Trust
@@ -35,13 +35,13 @@
 	feed.Service
 	maxConnections int
 	address        string        // of the leader; "" if it isn't among the instances
-	leading        feed.Instance // with an address
+	leaderInstance feed.Instance // with an address
 }
 
 var (
-	errOlderTable    = eris.New("a table older than the one held")
-	errMissing       = eris.New("a table without a configuration that isn't held")
-	errConfiguration = eris.New("a configuration that can't be read")
+	errOlderTable           = eris.New("a table older than the one held")
+	errNoConfiguration      = eris.New("a table without a configuration that isn't held")
+	errInvalidConfiguration = eris.New("a configuration that can't be read")
 )
 
 func newDirectory() *directory {
@@ -54,41 +54,41 @@
 
 // applied is the version that the controllers are told: what they send is what has changed since.
 func (d *directory) applied() feed.Version {
-	if d.wantsWhole {
+	if d.needsFullTable {
 		return feed.Version{}
 	}
 	return d.table.Version
 }
 
 // take takes over an answer to a question that was sent at sentAt. After an error nothing has changed.
-func (d *directory) take(now, sentAt time.Duration, answer feed.WatchAnswer) (news, error) {
-	var changes news
+func (d *directory) apply(now, sentAt time.Duration, answer feed.WatchAnswer) (tableChanges, error) {
+	var changes tableChanges
 	if answer.Table != nil {
-		taken, err := d.takeTable(*answer.Table)
+		taken, err := d.applyTable(*answer.Table)
 		if err != nil {
-			return news{}, err
+			return tableChanges{}, err
 		}
 		changes = taken
 	}
 	d.keys.HeardAt = max(d.keys.HeardAt, sentAt)
 	d.drains.Take(sentAt, answer.Drains)
-	d.renew(now, sentAt, answer.Lease)
+	d.renewLease(now, sentAt, answer.Lease)
 	return changes, nil
 }
 
 // renew takes over a lease. The controller counts a lease from its own answer at the latest, so time that passed
 // between the end of the old one and now isn't covered, even if the new one reaches back there.
-func (d *directory) renew(now, sentAt, lease time.Duration) {
-	d.lease = lease
+func (d *directory) renewLease(now, sentAt, lease time.Duration) {
+	d.leaseLength = lease
 	until := sentAt + lease
 	if lease <= 0 || until <= d.leaseUntil {
 		return
 	}
-	if !d.leased(now) {
-		d.lapses++
+	if !d.hasLease(now) {
+		d.leaseLapses++
 	}
 	d.leaseUntil = until
 }
 
 // leased tells whether the lease holds.
-func (d *directory) leased(now time.Duration) bool { return now < d.leaseUntil }
+func (d *directory) hasLease(now time.Duration) bool { return now < d.leaseUntil }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -12,63 +12,63 @@
 const (
 	// patienceShare is the part of a route's aim that a statement may wait to be offered to an instance. A refusal after
 	// more than a quarter of the aim comes late by the rules; timers fire a little late, so it is a fifth.
-	patienceShare = 5
+	placementWaitShare = 5
 	// patienceLeast is the wait where the route isn't known or has no aim.
-	patienceLeast = 20 * time.Millisecond
+	minPlacementWait = 20 * time.Millisecond
 	// anewShare is the part of the patience after which an instance that was busy is tried again.
-	anewShare = 4
+	retryWaitShare = 4
 	// defaultTimeout bounds a statement where the route says nothing; a valid configuration always does.
-	defaultTimeout = 2 * time.Second
+	defaultStatementTimeout = 2 * time.Second
 )
 
 // serve answers one QUERY.
-func (c *client) serve(id, text string) wire.Answer {
-	c.noticeCut()
+func (c *client) runQuery(id, text string) wire.Answer {
+	c.handleCutTransaction()
 	decision := c.session.Take(text)
 	switch {
 	case decision.Local:
 		if decision.Rollback {
-			c.dropTransaction()
+			c.rollBackTransaction()
 		}
 		return decision.Answer
 	case decision.First:
 		return c.serveFirst(id, decision.Statement)
 	}
-	return c.serveInside(id, decision.Statement)
+	return c.serveInTransaction(id, decision.Statement)
 }
 
 // serveFirst runs a statement that stands outside a transaction or begins one: at a replica, if it may be some time old and one has it
 // in time, else at the leader.
 func (c *client) serveFirst(id string, statement session.Statement) wire.Answer {
-	asked := c.gateway.now()
-	c.counted = ""
-	if tenant, until := c.gateway.limitOf(c.database, c.key, asked); !c.count(tenant, until) {
+	receivedAt := c.gateway.elapsed()
+	c.chargedTenant = ""
+	if tenant, until := c.gateway.limitedTenant(c.database, c.key, receivedAt); !c.charge(tenant, until) {
 		return c.session.Ended(statement, notRun(overLimit)).Answer
 	}
 	if statement.ReadOnly {
-		if answer, done := c.serveAtReplica(id, statement, asked); done {
+		if answer, done := c.serveAtReplica(id, statement, receivedAt); done {
 			return answer
 		}
 	}
-	return c.serveAtLeader(id, statement, asked)
+	return c.serveAtLeader(id, statement, receivedAt)
 }
 
 // serveAtReplica offers a read to replicas, and tells whether one of them had the last word on it. What was not run, or kept nothing, goes on to the
 // next.
-func (c *client) serveAtReplica(id string, statement session.Statement, asked time.Duration) (wire.Answer, bool) {
+func (c *client) serveAtReplica(id string, statement session.Statement, receivedAt time.Duration) (wire.Answer, bool) {
 	var tried []string
-	for len(tried) < replicaTries {
-		under := c.gateway.departRead(c.database, c.key, c.written, tried)
-		if under == nil {
+	for len(tried) < maxReplicaTries {
+		flight := c.gateway.startAtReplica(c.database, c.key, c.lastCommit, tried)
+		if flight == nil {
 			return wire.Answer{}, false
 		}
-		tried = append(tried, under.placed.replica.ID)
-		began := c.gateway.now()
-		outcome := c.runFirst(id, statement, under, asked)
-		c.gateway.replicaAnswered(under, outcome, c.gateway.now()-began)
+		tried = append(tried, flight.placement.replica.ID)
+		startedAt := c.gateway.elapsed()
+		outcome := c.runFirst(id, statement, flight, receivedAt)
+		c.gateway.recordReplicaResult(flight, outcome, c.gateway.elapsed()-startedAt)
 		verdict := c.session.Ended(statement, outcome)
-		c.settle(under, verdict)
-		if !mayRunElsewhere(outcome) || c.gateway.now() >= asked+patienceOf(under.placed) {
+		c.settle(flight, verdict)
+		if !mayRunElsewhere(outcome) || c.gateway.elapsed() >= receivedAt+maxPlacementWait(flight.placement) {
 			return verdict.Answer, true
 		}
 	}
@@ -88,35 +88,35 @@
 }
 
 // serveAtLeader runs a statement at the leader. If it was not run, it is tried again on another connection as long as its patience lasts.
-func (c *client) serveAtLeader(id string, statement session.Statement, asked time.Duration) wire.Answer {
+func (c *client) serveAtLeader(id string, statement session.Statement, receivedAt time.Duration) wire.Answer {
 	for attempt := 1; ; attempt++ {
-		under, why := c.gateway.depart(c.database, c.key, asked)
-		if why == noDatabase {
+		flight, reason := c.gateway.startAtLeader(c.database, c.key, receivedAt)
+		if reason == noDatabase {
 			return wire.Refusal(wire.NoDB, c.database, wire.Idle)
 		}
-		if why == unknownKey {
+		if reason == keyRejected {
 			return wire.Refusal(wire.AuthFail, "", wire.Idle)
 		}
-		if why != placed {
-			return c.session.Ended(statement, notRun(string(why))).Answer
+		if reason != notRefused {
+			return c.session.Ended(statement, notRun(string(reason))).Answer
 		}
-		outcome := c.runFirst(id, statement, under, asked)
+		outcome := c.runFirst(id, statement, flight, receivedAt)
 		verdict := c.session.Ended(statement, outcome)
-		c.noteWritten(statement, verdict.Answer)
-		c.settle(under, verdict)
-		if !worthAnother(outcome) || attempt >= under.placed.route.MaxAttempts {
+		c.recordCommit(statement, verdict.Answer)
+		c.settle(flight, verdict)
+		if !isRetryable(outcome) || attempt >= flight.placement.route.MaxAttempts {
 			return verdict.Answer
 		}
-		patience := patienceOf(under.placed)
-		if c.gateway.now()+patience/anewShare >= asked+patience {
+		maxWait := maxPlacementWait(flight.placement)
+		if c.gateway.elapsed()+maxWait/retryWaitShare >= receivedAt+maxWait {
 			return verdict.Answer
 		}
-		time.Sleep(patience / anewShare)
+		time.Sleep(maxWait / retryWaitShare)
 	}
 }
 
 // worthAnother tells whether a first statement has not been run and may be tried on another connection.
-func worthAnother(outcome session.Outcome) bool {
+func isRetryable(outcome session.Outcome) bool {
 	if outcome.Kind == session.Answered {
 		return outcome.Answer.Code == wire.Busy && outcome.Answer.State == wire.Idle
 	}
@@ -125,25 +125,25 @@
 
 // depart finds the leader for a first statement, and registers the flight in the same moment. Where a statement can't
 // be placed now but perhaps soon, it waits as long as its patience lasts.
-func (g *Gateway) depart(database string, key access.Key, asked time.Duration) (*flight, refusal) {
+func (g *Gateway) startAtLeader(database string, key access.Key, receivedAt time.Duration) (*flight, refusal) {
 	for {
 		g.mutex.Lock()
-		found, why := g.directory.placeFor(g.now(), database, key)
-		changed := g.news
-		if why == placed {
-			under := &flight{placed: found}
-			g.flights[under] = struct{}{}
+		placement, reason := g.directory.placeForKey(g.elapsed(), database, key)
+		directoryChanged := g.directoryChanged
+		if reason == notRefused {
+			flight := &flight{placement: placement}
+			g.flights[flight] = struct{}{}
 			g.mutex.Unlock()
-			return under, placed
+			return flight, notRefused
 		}
 		g.mutex.Unlock()
-		left := asked + patienceOf(found) - g.now()
-		if why == noDatabase || why == unknownKey || left <= 0 {
-			return nil, why
+		remaining := receivedAt + maxPlacementWait(placement) - g.elapsed()
+		if reason == noDatabase || reason == keyRejected || remaining <= 0 {
+			return nil, reason
 		}
-		timer := time.NewTimer(left)
+		timer := time.NewTimer(remaining)
 		select {
-		case <-changed:
+		case <-directoryChanged:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -151,37 +151,37 @@
 }
 
 // patienceOf is how long a statement may wait to be offered.
-func patienceOf(found placement) time.Duration {
-	aim := time.Duration(found.route.TargetLatencyMs) * time.Millisecond
-	return max(patienceLeast, aim/patienceShare)
+func maxPlacementWait(placement placement) time.Duration {
+	targetLatency := time.Duration(placement.route.TargetLatencyMs) * time.Millisecond
+	return max(minPlacementWait, targetLatency/placementWaitShare)
 }
 
-func timeoutOf(found placement) time.Duration {
-	if found.route.TimeoutMs <= 0 {
-		return defaultTimeout
+func timeoutOf(placement placement) time.Duration {
+	if placement.route.TimeoutMs <= 0 {
+		return defaultStatementTimeout
 	}
-	return time.Duration(found.route.TimeoutMs) * time.Millisecond
+	return time.Duration(placement.route.TimeoutMs) * time.Millisecond
 }
 
 // runFirst gets a connection and runs the statement on it.
-func (c *client) runFirst(id string, statement session.Statement, under *flight, asked time.Duration) session.Outcome {
-	until := asked + patienceOf(under.placed)
-	if !c.count(under.placed.tenant, until) {
+func (c *client) runFirst(id string, statement session.Statement, flight *flight, receivedAt time.Duration) session.Outcome {
+	until := receivedAt + maxPlacementWait(flight.placement)
+	if !c.charge(flight.placement.tenant, until) {
 		return notRun(overLimit)
 	}
-	deadline := c.gateway.started.Add(asked + timeoutOf(under.placed))
-	lent, err := c.gateway.poolFor(under.placed).acquire(ask{
-		session: c.session, interest: c.interest, tenant: under.placed.tenant, priority: under.placed.route.Priority, until: until,
+	deadline := c.gateway.startedAt.Add(receivedAt + timeoutOf(flight.placement))
+	backend, err := c.gateway.poolFor(flight.placement).acquire(acquireRequest{
+		session: c.session, liveness: c.liveness, tenant: flight.placement.tenant, priority: flight.placement.route.Priority, until: until,
 	})
 	if err != nil {
 		return notRun(err.Error())
 	}
-	if !c.gateway.lend(under, lent) {
+	if !c.gateway.attachBackend(flight, backend) {
 		return notRun(string(frozen))
 	}
-	outcome := c.run(id, statement, under, deadline)
+	outcome := c.run(id, statement, flight, deadline)
 	if !wasNotRun(outcome) {
-		c.counted = ""
+		c.chargedTenant = ""
 	}
 	return outcome
 }
@@ -199,93 +199,93 @@
 }
 
 // serveInside runs a statement of the open transaction.
-func (c *client) serveInside(id string, statement session.Statement) wire.Answer {
-	under := c.flight
+func (c *client) serveInTransaction(id string, statement session.Statement) wire.Answer {
+	flight := c.flight
 	outcome := notRun("the transaction was ended")
-	if c.gateway.wake(under) {
-		deadline := time.Now().Add(timeoutOf(under.placed))
-		outcome = c.run(id, statement, under, deadline)
+	if c.gateway.resume(flight) {
+		deadline := time.Now().Add(timeoutOf(flight.placement))
+		outcome = c.run(id, statement, flight, deadline)
 	}
 	verdict := c.session.Ended(statement, outcome)
-	c.noteWritten(statement, verdict.Answer)
-	c.settle(under, verdict)
+	c.recordCommit(statement, verdict.Answer)
+	c.settle(flight, verdict)
 	return verdict.Answer
 }
 
 // noteWritten remembers the position that a commit of this session has reached: its reads must see it.
-func (c *client) noteWritten(statement session.Statement, answer wire.Answer) {
+func (c *client) recordCommit(statement session.Statement, answer wire.Answer) {
 	commits := statement.Class == session.Write || statement.Class == session.Commit
 	if !commits || answer.Code != "" || answer.State != wire.Idle {
 		return
 	}
-	if position, err := wire.ParsePosition(answer.Position); err == nil && c.written.Less(position) {
-		c.written = position
+	if position, err := wire.ParsePosition(answer.Position); err == nil && c.lastCommit.Less(position) {
+		c.lastCommit = position
 	}
 }
 
 // run puts the connection in order and runs the statement on it.
-func (c *client) run(id string, statement session.Statement, under *flight, deadline time.Time) session.Outcome {
-	lent := under.lent
+func (c *client) run(id string, statement session.Statement, flight *flight, deadline time.Time) session.Outcome {
+	backend := flight.backend
 	inTransaction := c.session.Attached()
-	steps := c.session.Steps(lent.state, statement)
-	if len(steps) > 0 && !c.may(statement, under) {
-		return notSentNow()
+	steps := c.session.Steps(backend.state, statement)
+	if len(steps) > 0 && !c.maySend(statement, flight) {
+		return leaderUnusable()
 	}
 	for _, step := range steps {
-		answer, err := lent.conn.QueryBy(deadline, wire.OwnID, step.Text)
+		answer, err := backend.conn.QueryBy(deadline, wire.OwnID, step.Text)
 		if err != nil {
-			c.gateway.leaderFailed(under)
+			c.gateway.reportLeaderFailure(flight)
 			return notRun("the backend connection broke")
 		}
 		if answer.Code != "" {
 			if answer.Code != wire.Busy {
-				lent.state.Distrust()
+				backend.state.Distrust()
 			}
 			return stepRefused(answer, inTransaction)
 		}
-		lent.state.Done(step, inTransaction)
+		backend.state.Done(step, inTransaction)
 	}
-	if statement.Class == session.Commit && !lent.conn.Usable() {
-		c.gateway.leaderFailed(under)
+	if statement.Class == session.Commit && !backend.conn.Usable() {
+		c.gateway.reportLeaderFailure(flight)
 		return notRun("the backend connection broke")
 	}
 	begins := !inTransaction || c.session.Opens(statement)
-	if !c.may(statement, under) {
-		return notSentNow()
+	if !c.maySend(statement, flight) {
+		return leaderUnusable()
 	}
-	asked := c.gateway.now()
-	answer, err := lent.conn.QueryBy(deadline, id, textFor(statement, under, !inTransaction))
+	sentAt := c.gateway.elapsed()
+	answer, err := backend.conn.QueryBy(deadline, id, backendText(statement, flight, !inTransaction))
 	if begins {
-		c.gateway.noteBegin(under, lent.conn.SentAt())
+		c.gateway.checkBeginTime(flight, backend.conn.SentAt())
 	}
 	outcome := outcomeOf(answer, err)
-	if under.placed.atReplica() {
+	if flight.placement.atReplica() {
 		return outcome
 	}
-	c.gateway.reports.answered(under.placed.leader.InstanceID, outcome)
-	c.gateway.leaderNamed(under, asked, answer)
-	outcome.Stale = !c.gateway.lasted(under)
+	c.gateway.reports.answered(flight.placement.leader.InstanceID, outcome)
+	c.gateway.recordLeaderPosition(flight, sentAt, answer)
+	outcome.Stale = !c.gateway.remainedValid(flight)
 	return outcome
 }
 
 // textFor is the text as it is sent: a read or BEGIN at a replica names the position that the replica's log must hold.
-func textFor(statement session.Statement, under *flight, first bool) string {
+func backendText(statement session.Statement, flight *flight, isFirst bool) string {
 	text := statement.BackendText()
-	if first && under.placed.atReplica() {
-		return wire.AfterText(under.placed.after, text)
+	if isFirst && flight.placement.atReplica() {
+		return wire.AfterText(flight.placement.minPosition, text)
 	}
 	return text
 }
 
 // leaderFailed reports a connection that broke, if it was one to the leader.
-func (g *Gateway) leaderFailed(under *flight) {
-	if !under.placed.atReplica() {
-		g.reports.failed(under.placed.leader.InstanceID)
+func (g *Gateway) reportLeaderFailure(flight *flight) {
+	if !flight.placement.atReplica() {
+		g.reports.failed(flight.placement.leader.InstanceID)
 	}
 }
 
 // notSentNow: the right to use the leader is gone; nothing has been sent.
-func notSentNow() session.Outcome {
+func leaderUnusable() session.Outcome {
 	return session.Outcome{Kind: session.NotRun, Reason: "the leader may not be used now", Intact: true}
 }
 
@@ -299,18 +299,18 @@
 }
 
 // may is the last check before the statement's bytes leave.
-func (c *client) may(statement session.Statement, under *flight) bool {
+func (c *client) maySend(statement session.Statement, flight *flight) bool {
 	switch {
 	case statement.Class == session.Abort:
-		return c.gateway.mayAbort(under)
+		return c.gateway.mayAbort(flight)
 	case statement.Class == session.Commit:
-		return c.gateway.mayCommit(under)
+		return c.gateway.mayCommit(flight)
 	case c.session.Opens(statement):
-		return c.gateway.mayOpen(under)
+		return c.gateway.mayOpen(flight)
 	case c.session.Attached():
-		return c.gateway.mayGoOn(under)
+		return c.gateway.mayContinue(flight)
 	}
-	return c.gateway.mayBegin(under)
+	return c.gateway.mayBegin(flight)
 }
 
 // outcomeOf reads what came of a statement that was sent.
@@ -334,54 +334,54 @@
 
 // settle carries out what becomes of the backend connection. It happens before the client is answered: a freeze must
 // find no flight whose client has its answer, and the client's next statement finds the connection again.
-func (c *client) settle(under *flight, verdict session.Verdict) {
-	lent := under.lent
+func (c *client) settle(flight *flight, verdict session.Verdict) {
+	backend := flight.backend
 	if verdict.Fate == session.Keep {
-		c.flight = under
-		c.gateway.rest(under)
+		c.flight = flight
+		c.gateway.markIdle(flight)
 		return
 	}
 	c.flight = nil
-	c.gateway.land(under)
-	if lent == nil {
+	c.gateway.endFlight(flight)
+	if backend == nil {
 		return
 	}
-	from := lent.home
+	pool := backend.pool
 	switch verdict.Fate {
 	case session.Free:
-		lent.state.Ended(verdict.RolledBack)
-		from.free(lent)
+		backend.state.Ended(verdict.RolledBack)
+		pool.release(backend)
 	case session.Rollback:
-		from.rollback(lent)
+		pool.rollback(backend)
 	default:
-		from.drop(lent)
+		pool.discard(backend)
 	}
 }
 
 // dropTransaction rolls the open transaction back, because the session has failed, has rested for too long or has ended.
-func (c *client) dropTransaction() {
-	under := c.flight
-	if under == nil {
+func (c *client) rollBackTransaction() {
+	flight := c.flight
+	if flight == nil {
 		return
 	}
 	fate := session.Rollback
-	if !c.gateway.wake(under) {
+	if !c.gateway.resume(flight) {
 		fate = session.Close
 	}
-	c.settle(under, session.Verdict{Fate: fate})
+	c.settle(flight, session.Verdict{Fate: fate})
 }
 
 // noticeCut makes up for a transaction that was cut while it rested.
-func (c *client) noticeCut() {
-	under := c.flight
-	if under == nil {
+func (c *client) handleCutTransaction() {
+	flight := c.flight
+	if flight == nil {
 		return
 	}
 	c.gateway.mutex.Lock()
-	cut := under.cut
+	cut := flight.isCut
 	c.gateway.mutex.Unlock()
 	if cut {
 		c.session.RolledBack()
-		c.settle(under, session.Verdict{Fate: session.Close})
+		c.settle(flight, session.Verdict{Fate: session.Close})
 	}
 }
--- a/gateway/figures.go
+++ b/gateway/figures.go
@@ -4,10 +4,10 @@
 
 // figures gives the gateway's own figures.
 func (g *Gateway) figures() []metrics.Figure {
-	now := g.counters.totals()
+	totals := g.counters.totals()
 	answers := map[string]uint64{
-		"completed": now.completed, "busy": now.busy, "rolledback": now.rolledBack, "indoubt": now.inDoubt,
-		"timeout": now.timedOut, "malformed": now.malformed, "nodb": now.noDatabase, "authfail": now.unknownKey, "other": now.otherError,
+		"completed": totals.completed, "busy": totals.busy, "rolledback": totals.rolledBack, "indoubt": totals.inDoubt,
+		"timeout": totals.timedOut, "malformed": totals.malformed, "nodb": totals.noDatabase, "authfail": totals.keyRejected, "other": totals.otherError,
 	}
 	var figures []metrics.Figure
 	for answer, count := range answers {
@@ -15,49 +15,49 @@
 			Name: "answers_total", Help: "Statements answered, by answer.", Value: float64(count), Of: answer,
 		})
 	}
-	for name, count := range map[string]uint64{"served": now.replicaReads, "lagging": now.lagging} {
+	for name, count := range map[string]uint64{"served": totals.replicaReads, "lagging": totals.lagging} {
 		figures = append(figures, metrics.Figure{
 			Name: "replica_reads_total", Help: "Reads at replicas, by how they ended.", Value: float64(count), Of: name,
 		})
 	}
-	for tenant, count := range g.allowance.refusedByTenant() {
+	for tenant, count := range g.limiter.refusedByTenant() {
 		figures = append(figures, metrics.Figure{
 			Name: "operations_refused_total", Help: "Operations that their tenant's limit didn't allow, by tenant.", Value: float64(count), Of: tenant,
 		})
 	}
-	for outcome, count := range map[string]uint64{"sent": g.counters.operationQuestions.Load(), "failed": g.counters.operationFailures.Load()} {
+	for outcome, count := range map[string]uint64{"sent": g.counters.operationRequests.Load(), "failed": g.counters.failedOperationRequests.Load()} {
 		figures = append(figures, metrics.Figure{
 			Name: "operation_questions_total", Help: "Questions to the primary for operations of tenants.", Value: float64(count), Of: outcome,
 		})
 	}
-	figures = append(figures, g.backends.figures()...)
-	figures = append(figures, metrics.NewGauge("backends", "Connections to instances that are open or being made.", float64(g.backendsOpen())))
+	figures = append(figures, g.backendCounts.figures()...)
+	figures = append(figures, metrics.NewGauge("backends", "Connections to instances that are open or being made.", float64(g.openBackends())))
 	figures = append(figures, metrics.Figure{
-		Name: "operations_over_limit_total", Help: "Operations refused since their tenants' limits were used up.", Value: float64(now.overLimit),
+		Name: "operations_over_limit_total", Help: "Operations refused since their tenants' limits were used up.", Value: float64(totals.overLimit),
 	})
 	figures = append(figures, metrics.Figure{
-		Name: "invariants_broken_total", Help: "Invariants that did not hold, since the start.", Value: float64(g.counters.broken.Load()),
+		Name: "invariants_broken_total", Help: "Invariants that did not hold, since the start.", Value: float64(g.counters.brokenInvariants.Load()),
 	})
-	return append(figures, g.standing()...)
+	return append(figures, g.stateFigures()...)
 }
 
 // standing tells by what the gateway works.
-func (g *Gateway) standing() []metrics.Figure {
+func (g *Gateway) stateFigures() []metrics.Figure {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	held := g.directory
+	directory := g.directory
 	figures := []metrics.Figure{
 		metrics.NewGauge("sessions", "Sessions of clients that are open.", float64(len(g.clients))),
 		metrics.NewGauge("flights", "Statements and transactions that are under way.", float64(len(g.flights))),
-		metrics.NewGauge("lease_left_seconds", "How long the gateway may work by its table; negative: not any more.", (held.leaseUntil - g.now()).Seconds()),
-		metrics.NewGauge("table_epoch", "Epoch of the table.", float64(held.table.Version.Epoch)),
-		metrics.NewGauge("table_sequence", "Number of the table in its epoch.", float64(held.table.Version.Sequence)),
-		metrics.NewGauge("configuration", "Number of the configuration in force.", float64(held.table.ConfigurationNumber)),
+		metrics.NewGauge("lease_left_seconds", "How long the gateway may work by its table; negative: not any more.", (directory.leaseUntil - g.elapsed()).Seconds()),
+		metrics.NewGauge("table_epoch", "Epoch of the table.", float64(directory.table.Version.Epoch)),
+		metrics.NewGauge("table_sequence", "Number of the table in its epoch.", float64(directory.table.Version.Sequence)),
+		metrics.NewGauge("configuration", "Number of the configuration in force.", float64(directory.table.ConfigurationNumber)),
 	}
-	for name, service := range held.services {
+	for name, service := range directory.services {
 		figures = append(figures,
 			metrics.NewGaugeOf("service_frozen", "1 while no statement may be started at the leader.", name, metrics.Flag(service.Frozen)),
-			metrics.NewGaugeOf("service_leader_draining", "1 while the leader drains.", name, metrics.Flag(service.leading.Draining)),
+			metrics.NewGaugeOf("service_leader_draining", "1 while the leader drains.", name, metrics.Flag(service.leaderInstance.Draining)),
 			metrics.NewGaugeOf("service_vacant", "1 while no leader is known.", name, metrics.Flag(service.address == "")),
 		)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -40,39 +40,39 @@
 }
 
 // watcher asks a controller for news.
-type watcher interface {
+type controllerClient interface {
 	Watch(ctx context.Context, address string, request feed.WatchRequest) (feed.WatchAnswer, error)
 }
 
 // Gateway is one running gateway.
 type Gateway struct {
-	log      logrus.FieldLogger
-	watcher  watcher
-	started  time.Time
-	identity string // the name and a random word: tells this life from an earlier one
-	name     string
-	counters counters
-	backends backendCounts
-	reports  reports
-	landed   chan struct{} // a flight has ended
-	reseed   chan []string
-	budget   *wire.Budget // of memory for long messages
-
-	allowance *allowance // of operations of tenants
+	log           logrus.FieldLogger
+	controllers   controllerClient
+	startedAt     time.Time
+	identity      string // the name and a random word: tells this life from an earlier one
+	name          string
+	counters      counters
+	backendCounts backendCounts
+	reports       instanceReports
+	flightEnded   chan struct{} // a flight has ended
+	seedUpdates   chan []string
+	messageBudget *wire.Budget // of memory for long messages
+
+	limiter *limiter // of operations of tenants
 
 	// What belongs to the loop that asks.
-	calmUntil       time.Duration // until then no question is broken off
-	failedQuestions []string      // the last ones, for the log
-
-	mutex     sync.Mutex
-	settings  system.Settings
-	directory *directory
-	news      chan struct{} // closed and replaced when the directory has changed
-	flights   map[*flight]struct{}
-	pools     map[poolKey]*pool
-	clients   map[*client]struct{}
-	reads     map[string]*reads // by service
-	primary   string            // the controller that answered last
+	nextUrgentAt  time.Duration // until then no question is broken off
+	failedWatches []string      // the last ones, for the log
+
+	mutex            sync.Mutex
+	settings         system.Settings
+	directory        *directory
+	directoryChanged chan struct{} // closed and replaced when the directory has changed
+	flights          map[*flight]struct{}
+	pools            map[poolKey]*pool
+	clients          map[*client]struct{}
+	readStates       map[string]*readState // by service
+	primary          string                // the controller that answered last
 
 	primaryRelays bool // it isn't primary, and passes questions on
 
@@ -81,15 +81,15 @@
 
 // Run serves until it is asked to terminate and has done so in order, or until the context ends. An error means that it
 // could not start.
-func Run(ctx context.Context, boot Options) error {
-	asker := &rpc.Client{Routes: boot.Settings.InternalRoutes}
-	defer asker.Close()
-	return run(ctx, boot, asker)
+func Run(ctx context.Context, options Options) error {
+	controllers := &rpc.Client{Routes: options.Settings.InternalRoutes}
+	defer controllers.Close()
+	return run(ctx, options, controllers)
 }
 
-func run(ctx context.Context, boot Options, asker watcher) error {
-	gateway := newGateway(boot, asker)
-	front, readiness, err := listen(ctx, boot.Settings)
+func run(ctx context.Context, options Options, controllers controllerClient) error {
+	gateway := newGateway(options, controllers)
+	front, readiness, err := listen(ctx, options.Settings)
 	if err != nil {
 		return err
 	}
@@ -97,82 +97,82 @@
 	defer cancel()
 	server := gateway.serveReadiness(readiness)
 	defer server.Close()
-	if boot.Publish != nil {
-		boot.Publish(gateway.figures)
+	if options.Publish != nil {
+		options.Publish(gateway.figures)
 	}
-	following := make(chan struct{})
-	followed, stopFollowing := context.WithCancel(ctx)
-	defer stopFollowing()
+	watchEnded := make(chan struct{})
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
 	go func() {
-		defer close(following)
-		gateway.follow(followed)
+		defer close(watchEnded)
+		gateway.watchControllers(watchCtx)
 	}()
 	go gateway.accept(front)
-	go gateway.keepHouse(ctx)
-	go gateway.borrow(ctx)
-	go gateway.reload(ctx, boot.Reload)
-	gateway.log.WithField("front", boot.Settings.Listen.Front).Info("gateway started")
+	go gateway.maintain(ctx)
+	go gateway.refillLimits(ctx)
+	go gateway.watchSettings(ctx, options.Reload)
+	gateway.log.WithField("front", options.Settings.Listen.Front).Info("gateway started")
 
 	select {
 	case <-ctx.Done():
-	case <-boot.Terminate:
+	case <-options.Terminate:
 		gateway.terminate(ctx)
 	}
 	front.Close()
-	stopFollowing()
-	<-following
-	gateway.cutClients()
+	stopWatching()
+	<-watchEnded
+	gateway.closeClients()
 	gateway.closePools()
-	gateway.sayGoodbye()
+	gateway.announceLeaving()
 	return nil
 }
 
-func newGateway(boot Options, asker watcher) *Gateway {
-	held := newDirectory()
-	held.keys.Lasting = access.LastingFor(boot.Settings.Bounds.Revoke())
-	started := &Gateway{
-		log:       boot.Log,
-		watcher:   asker,
-		started:   time.Now(),
-		identity:  boot.Settings.Name + "/" + randomWord(),
-		name:      boot.Settings.Name,
-		reports:   reports{urgent: make(chan struct{}, 1)},
-		landed:    make(chan struct{}, 1),
-		reseed:    make(chan []string, 1),
-		budget:    wire.NewBudget(messageMemory(boot.Settings.Limits)),
-		settings:  boot.Settings,
-		directory: held,
-		news:      make(chan struct{}),
-		flights:   map[*flight]struct{}{},
-		pools:     map[poolKey]*pool{},
-		clients:   map[*client]struct{}{},
-		reads:     map[string]*reads{},
+func newGateway(options Options, controllers controllerClient) *Gateway {
+	directory := newDirectory()
+	directory.keys.Lasting = access.LastingFor(options.Settings.Bounds.Revoke())
+	gateway := &Gateway{
+		log:              options.Log,
+		controllers:      controllers,
+		startedAt:        time.Now(),
+		identity:         options.Settings.Name + "/" + randomID(),
+		name:             options.Settings.Name,
+		reports:          instanceReports{urgent: make(chan struct{}, 1)},
+		flightEnded:      make(chan struct{}, 1),
+		seedUpdates:      make(chan []string, 1),
+		messageBudget:    wire.NewBudget(messageMemory(options.Settings.Limits)),
+		settings:         options.Settings,
+		directory:        directory,
+		directoryChanged: make(chan struct{}),
+		flights:          map[*flight]struct{}{},
+		pools:            map[poolKey]*pool{},
+		clients:          map[*client]struct{}{},
+		readStates:       map[string]*readState{},
 	}
-	started.allowance = newAllowance(started.now)
-	return started
+	gateway.limiter = newLimiter(gateway.elapsed)
+	return gateway
 }
 
 const (
 	// messageShare is the part of the machine's memory that long messages of clients may take while they are read:
 	// each is copied a few times on its way.
-	messageShare = 16
+	messageMemoryShare = 16
 	// leastMessageMemory is enough for a few messages of the greatest length, in bytes.
-	leastMessageMemory = 4 * wire.MaxMessage
+	minMessageMemory = 4 * wire.MaxMessage
 )
 
 func messageMemory(limits system.Limits) int64 {
 	const mebibyte = 1 << 20
-	return max(leastMessageMemory, int64(limits.MemoryMb*mebibyte/messageShare))
+	return max(minMessageMemory, int64(limits.MemoryMb*mebibyte/messageMemoryShare))
 }
 
-func randomWord() string {
-	var word [8]byte
-	_, _ = rand.Read(word[:]) // never fails
-	return hex.EncodeToString(word[:])
+func randomID() string {
+	var id [8]byte
+	_, _ = rand.Read(id[:]) // never fails
+	return hex.EncodeToString(id[:])
 }
 
 // now is the steady time since the start.
-func (g *Gateway) now() time.Duration { return time.Since(g.started) }
+func (g *Gateway) elapsed() time.Duration { return time.Since(g.startedAt) }
 
 // clientKeepAlive finds clients that have vanished: thousands rest for long, so it is done rarely.
 var clientKeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Minute, Interval: 10 * time.Second, Count: 3}
@@ -192,16 +192,16 @@
 }
 
 // readinessTime bounds each part of the platform's question: it comes every second and its answer is a line.
-const readinessTime = 2 * time.Second
+const readinessTimeout = 2 * time.Second
 
 func (g *Gateway) serveReadiness(listener net.Listener) *http.Server {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /readiness", func(writer http.ResponseWriter, _ *http.Request) {
-		if !g.ready() {
+		if !g.isReady() {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	server := &http.Server{Handler: routes, ReadHeaderTimeout: readinessTime, WriteTimeout: readinessTime}
+	server := &http.Server{Handler: routes, ReadHeaderTimeout: readinessTimeout, WriteTimeout: readinessTimeout}
 	go func() { _ = server.Serve(listener) }()
 	return server
 }
@@ -212,33 +212,33 @@
 	unreadyAfter = 2 * time.Second
 	// closeAfter is how long it may be lost before sessions are closed once they have been refused: by then the platform
 	// has noticed, so that they come back elsewhere.
-	closeAfter = 6 * time.Second
+	closeSessionsAfter = 6 * time.Second
 )
 
 // ready tells whether the gateway can serve: it has a configuration, isn't ending, and hasn't lost its lease for long.
-func (g *Gateway) ready() bool {
-	if g.at(leaving) {
+func (g *Gateway) isReady() bool {
+	if g.hasReached(unready) {
 		return false
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.directory.configured() && !g.leaseLostFor(unreadyAfter)
+	return g.directory.hasConfiguration() && !g.isLeaseLostFor(unreadyAfter)
 }
 
 // leaseLostFor tells whether the lease ran out that long ago. It is called with the lock held.
-func (g *Gateway) leaseLostFor(long time.Duration) bool {
-	return g.now() >= g.directory.leaseUntil+long
+func (g *Gateway) isLeaseLostFor(duration time.Duration) bool {
+	return g.elapsed() >= g.directory.leaseUntil+duration
 }
 
 // isCutOff tells whether the lease has been lost for so long that sessions are better off elsewhere.
 func (g *Gateway) isCutOff() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.directory.configured() && g.leaseLostFor(closeAfter)
+	return g.directory.hasConfiguration() && g.isLeaseLostFor(closeSessionsAfter)
 }
 
 // reload takes over settings that may change while the process runs.
-func (g *Gateway) reload(ctx context.Context, changed <-chan system.Settings) {
+func (g *Gateway) watchSettings(ctx context.Context, changed <-chan system.Settings) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -250,29 +250,29 @@
 			g.mutex.Lock()
 			g.settings = settings
 			g.mutex.Unlock()
-			g.newSeeds(settings.SeedRPCAddresses())
+			g.updateSeeds(settings.SeedRPCAddresses())
 		}
 	}
 }
 
 // newSeeds hands the seeds to the loop that asks the controllers; only the newest count.
-func (g *Gateway) newSeeds(seeds []string) {
+func (g *Gateway) updateSeeds(seeds []string) {
 	select {
-	case <-g.reseed:
+	case <-g.seedUpdates:
 	default:
 	}
-	g.reseed <- seeds
+	g.seedUpdates <- seeds
 }
 
 const (
 	// sweepEvery is between the rounds in which unused connections of tenants are closed, which are kept for seconds only.
-	sweepEvery = time.Second
+	trimInterval = time.Second
 	// sweepsInHouse is how many of these rounds there are to one in which those of others are closed too and counters printed.
-	sweepsInHouse = 10
+	trimsPerFullRound = 10
 )
 
-func (g *Gateway) keepHouse(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+func (g *Gateway) maintain(ctx context.Context) {
+	ticker := time.NewTicker(trimInterval)
 	defer ticker.Stop()
 	for round := 1; ; round++ {
 		select {
@@ -280,21 +280,21 @@
 			return
 		case <-ticker.C:
 		}
-		isHouse := round%sweepsInHouse == 0
-		if isHouse || g.hasTenants() {
-			g.trimPools(isHouse)
+		isFullRound := round%trimsPerFullRound == 0
+		if isFullRound || g.hasTenants() {
+			g.trimPools(isFullRound)
 		}
-		if isHouse {
-			g.printCounters()
+		if isFullRound {
+			g.logCounters()
 		}
 	}
 }
 
-func (g *Gateway) trimPools(isHouse bool) {
-	for _, kept := range g.allPools() {
-		kept.trim()
-		if isHouse {
-			kept.forgetParts()
+func (g *Gateway) trimPools(isFullRound bool) {
+	for _, pool := range g.allPools() {
+		pool.trim()
+		if isFullRound {
+			pool.forgetTenants()
 		}
 	}
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -18,9 +18,9 @@
 	// doesn't know, need some too, and so do controllers, replicas and gateways that still close theirs.
 	poolShare = 4
 	// poolLeast is what a pool may hold in any case, and what is tried where the configuration says nothing.
-	poolLeast = 4
+	minPoolSize = 4
 	// rollbackTime bounds the end of a transaction that its session has given up. It needs no slot.
-	rollbackTime = time.Second
+	rollbackTimeout = time.Second
 )
 
 var (
@@ -30,18 +30,18 @@
 
 // backend is a connection to an instance.
 type backend struct {
-	home     *pool
+	pool     *pool
 	tenant   string // under whose name it was made
 	conn     *wire.Conn
 	state    *session.Backend
 	lastUsed time.Duration
-	wantedBy *interest // of the session that had it last; nil: nobody's yet
+	lastUser *liveness // of the session that had it last; nil: nobody's yet
 }
 
 // ask is what a statement wants of a pool: a connection of its tenant's, for its session, at the latest at until.
-type ask struct {
+type acquireRequest struct {
 	session  *session.Session
-	interest *interest
+	liveness *liveness
 	tenant   string
 	priority int
 	until    time.Duration
@@ -49,7 +49,7 @@
 
 // waiter is a statement that waits for a connection.
 type waiter struct {
-	ask
+	acquireRequest
 	given chan *backend // takes one; nil: there won't be one
 }
 
@@ -63,99 +63,99 @@
 // pool holds the connections to one instance. Each is lent to sessions of the tenant only under whose name it was made, and in whose name the
 // instance runs what is sent on it.
 type pool struct {
-	key    poolKey
-	who    string
-	now    func() time.Duration
-	failed func(instanceID string) // is told of connections that could not be made, while the instance leads
-	leads  atomic.Bool
-	counts *backendCounts
+	key           poolKey
+	defaultUser   string
+	now           func() time.Duration
+	reportFailure func(instanceID string) // is told of connections that could not be made, while the instance leads
+	isLeader      atomic.Bool
+	counts        *backendCounts
 
 	// What tests put in other words.
-	dial   func(ctx context.Context, tenant string) (*wire.Conn, error)
-	launch func(func())
-	after  func(time.Duration, func())
+	dial     func(ctx context.Context, tenant string) (*wire.Conn, error)
+	launch   func(func())
+	schedule func(time.Duration, func())
 
-	mutex     sync.Mutex
-	idle      []*backend       // the one used last is the last
-	waiting   []*waiter        // by priority, then by time left
-	open      int              // idle, lent, and being made
-	parts     map[string]*part // by tenant
-	limit     int              // by the configuration
-	most      int              // as far as the instance has let us
-	growAt    time.Duration
-	retryAt   time.Duration
-	retrySet  bool // there will be another try at retryAt
-	retention retention
-	closed    bool
+	mutex            sync.Mutex
+	idle             []*backend            // the one used last is the last
+	waiting          []*waiter             // by priority, then by time left
+	open             int                   // idle, lent, and being made
+	tenants          map[string]*tenantUse // by tenant
+	limit            int                   // by the configuration
+	allowed          int                   // as far as the instance has let us
+	growAt           time.Duration
+	retryAt          time.Duration
+	isRetryScheduled bool // there will be another try at retryAt
+	retention        retention
+	closed           bool
 }
 
 // part is what a pool holds of one tenant.
-type part struct {
-	open   int // idle, lent, and being made
-	making int
-	lost   dialReason // what became of the last one, without any
-	lostAt time.Duration
+type tenantUse struct {
+	open       int // idle, lent, and being made
+	dialing    int
+	lastReason dialReason // what became of the last one, without any
+	closedAt   time.Duration
 }
 
-func newPool(key poolKey, who string, now func() time.Duration, failed func(string), counts *backendCounts) *pool {
-	made := &pool{
-		key: key, who: who, now: now, failed: failed, counts: counts,
-		limit: poolLeast, most: poolLeast, parts: map[string]*part{}, retention: newRetention(),
+func newPool(key poolKey, defaultUser string, now func() time.Duration, reportFailure func(string), counts *backendCounts) *pool {
+	pool := &pool{
+		key: key, defaultUser: defaultUser, now: now, reportFailure: reportFailure, counts: counts,
+		limit: minPoolSize, allowed: minPoolSize, tenants: map[string]*tenantUse{}, retention: newRetention(),
 	}
-	made.dial = made.dialInstance
-	made.launch = func(work func()) { go work() }
-	made.after = func(pause time.Duration, work func()) { time.AfterFunc(pause, work) }
-	return made
+	pool.dial = pool.dialInstance
+	pool.launch = func(work func()) { go work() }
+	pool.schedule = func(pause time.Duration, work func()) { time.AfterFunc(pause, work) }
+	return pool
 }
 
 // allow sets how many connections the instance takes from all its callers.
-func (p *pool) allow(maxConnections int) {
+func (p *pool) setMaxConnections(maxConnections int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	limit := max(poolLeast, maxConnections/poolShare)
+	limit := max(minPoolSize, maxConnections/poolShare)
 	if limit != p.limit {
-		p.limit, p.most = limit, limit
+		p.limit, p.allowed = limit, limit
 	}
 }
 
 // acquire lends a connection.
-func (p *pool) acquire(asked ask) (*backend, error) {
+func (p *pool) acquire(request acquireRequest) (*backend, error) {
 	for {
-		found, wait, err := p.takeOrQueue(asked)
+		backend, waiter, err := p.takeOrQueue(request)
 		if err != nil {
 			return nil, err
 		}
-		if wait != nil {
-			found, err = p.await(wait)
+		if waiter != nil {
+			backend, err = p.await(waiter)
 			if err != nil {
 				return nil, err
 			}
 		}
-		if found.conn.Usable() {
-			return found, nil
+		if backend.conn.Usable() {
+			return backend, nil
 		}
-		p.drop(found)
+		p.discard(backend)
 	}
 }
 
-func (p *pool) takeOrQueue(asked ask) (*backend, *waiter, error) {
+func (p *pool) takeOrQueue(request acquireRequest) (*backend, *waiter, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return nil, nil, errPoolClosed
 	}
-	if found := p.takeIdle(asked); found != nil {
-		return found, nil, nil
+	if backend := p.takeIdle(request); backend != nil {
+		return backend, nil, nil
 	}
 	now := p.now()
-	if now >= asked.until || (p.open == 0 && now < p.retryAt) {
+	if now >= request.until || (p.open == 0 && now < p.retryAt) {
 		return nil, nil, errNoConnection
 	}
-	wait := &waiter{ask: asked, given: make(chan *backend, 1)}
-	place, _ := slices.BinarySearchFunc(p.waiting, wait, waitsAfter)
-	p.waiting = slices.Insert(p.waiting, place, wait)
-	p.makeMore(now)
-	return nil, wait, nil
+	waiter := &waiter{acquireRequest: request, given: make(chan *backend, 1)}
+	place, _ := slices.BinarySearchFunc(p.waiting, waiter, waitsAfter)
+	p.waiting = slices.Insert(p.waiting, place, waiter)
+	p.dialForWaiters(now)
+	return nil, waiter, nil
 }
 
 // waitsAfter orders the queue: by priority, then by time left; of equals, who came first.
@@ -170,25 +170,25 @@
 }
 
 // await waits for a connection to be handed over.
-func (p *pool) await(wait *waiter) (*backend, error) {
-	timer := time.NewTimer(wait.until - p.now())
+func (p *pool) await(waiter *waiter) (*backend, error) {
+	timer := time.NewTimer(waiter.until - p.now())
 	defer timer.Stop()
 	select {
-	case found := <-wait.given:
-		return handed(found)
+	case backend := <-waiter.given:
+		return backendOrError(backend)
 	case <-timer.C:
 	}
-	if p.giveUp(wait) {
+	if p.cancelWait(waiter) {
 		return nil, errNoConnection
 	}
-	return handed(<-wait.given)
+	return backendOrError(<-waiter.given)
 }
 
 // giveUp takes a waiter out of the queue, and tells whether it was still there: otherwise it has been given something.
-func (p *pool) giveUp(wait *waiter) bool {
+func (p *pool) cancelWait(waiter *waiter) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	place := slices.Index(p.waiting, wait)
+	place := slices.Index(p.waiting, waiter)
 	if place < 0 {
 		return false
 	}
@@ -196,50 +196,50 @@
 	return true
 }
 
-func handed(found *backend) (*backend, error) {
-	if found == nil {
+func backendOrError(backend *backend) (*backend, error) {
+	if backend == nil {
 		return nil, errNoConnection
 	}
-	return found, nil
+	return backend, nil
 }
 
 // refuseAll sends all who wait away. It is called with the lock held.
-func (p *pool) refuseAll() {
-	for _, wait := range p.waiting {
-		wait.given <- nil
+func (p *pool) refuseWaiters() {
+	for _, waiter := range p.waiting {
+		waiter.given <- nil
 	}
 	p.waiting = nil
 }
 
 // hand passes a sound connection on: to whoever of its tenant waits, unless somebody of another tenant needs its room first; else it is kept. It
 // is called with the lock held.
-func (p *pool) hand(free *backend) {
+func (p *pool) handOver(backend *backend) {
 	now := p.now()
 	switch {
 	case p.closed:
-		p.shut(free, afterBroken)
-	case p.mustGiveWay(now, free.tenant):
-		p.shut(free, afterGaveWay)
-		p.makeMore(now)
-	case p.handToWaiter(free):
+		p.closeBackend(backend, afterBroken)
+	case p.mustGiveWay(now, backend.tenant):
+		p.closeBackend(backend, afterEviction)
+		p.dialForWaiters(now)
+	case p.giveToWaiter(backend):
 	default:
-		free.lastUsed = now
-		p.idle = append(p.idle, free)
+		backend.lastUsed = now
+		p.idle = append(p.idle, backend)
 	}
 }
 
 // mustGiveWay tells whether the pool is full, and the first who waits and could be helped is of another tenant: without this, tenants whose
 // connections are never idle would keep all others out for ever. It is called with the lock held.
 func (p *pool) mustGiveWay(now time.Duration, tenant string) bool {
-	if p.open < p.most || now < p.retryAt {
+	if p.open < p.allowed || now < p.retryAt {
 		return false
 	}
-	unserved := p.unserved()
-	for _, wait := range p.waiting {
-		if wait.tenant == tenant {
+	unserved := p.waitersWithoutDial()
+	for _, waiter := range p.waiting {
+		if waiter.tenant == tenant {
 			return false
 		}
-		if len(unserved) > 0 && unserved[0] == wait {
+		if len(unserved) > 0 && unserved[0] == waiter {
 			return true
 		}
 	}
@@ -247,43 +247,43 @@
 }
 
 // handToWaiter gives a connection to whoever of its tenant waits first, and tells whether somebody does. It is called with the lock held.
-func (p *pool) handToWaiter(free *backend) bool {
-	place := slices.IndexFunc(p.waiting, func(wait *waiter) bool { return wait.tenant == free.tenant })
+func (p *pool) giveToWaiter(backend *backend) bool {
+	place := slices.IndexFunc(p.waiting, func(waiter *waiter) bool { return waiter.tenant == backend.tenant })
 	if place < 0 {
 		return false
 	}
-	free.wantedBy = p.waiting[place].interest
-	p.waiting[place].given <- free
+	backend.lastUser = p.waiting[place].liveness
+	p.waiting[place].given <- backend
 	p.waiting = slices.Delete(p.waiting, place, place+1)
 	return true
 }
 
 // free takes back a sound connection that is outside a transaction.
-func (p *pool) free(lent *backend) {
+func (p *pool) release(backend *backend) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.hand(lent)
+	p.handOver(backend)
 }
 
 // drop takes back a connection that can't be used any more, and closes it.
-func (p *pool) drop(lent *backend) {
+func (p *pool) discard(backend *backend) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.shut(lent, afterBroken)
-	p.makeMore(p.now())
+	p.closeBackend(backend, afterBroken)
+	p.dialForWaiters(p.now())
 }
 
 // rollback ends the transaction on a connection whose session has given it up, and takes the connection back. It
 // doesn't wait for it.
-func (p *pool) rollback(lent *backend) {
+func (p *pool) rollback(backend *backend) {
 	p.launch(func() {
-		answer, err := lent.conn.QueryBy(time.Now().Add(rollbackTime), wire.OwnID, string(wire.Abort))
+		answer, err := backend.conn.QueryBy(time.Now().Add(rollbackTimeout), wire.OwnID, string(wire.Abort))
 		if err != nil || answer.Code != "" || answer.State != wire.Idle {
-			p.drop(lent)
+			p.discard(backend)
 			return
 		}
-		lent.state.Ended(true)
-		p.free(lent)
+		backend.state.Ended(true)
+		p.release(backend)
 	})
 }
 
@@ -293,7 +293,7 @@
 	defer p.mutex.Unlock()
 	p.closed = true
 	p.closeIdle(afterBroken, func(*backend) bool { return true })
-	p.refuseAll()
+	p.refuseWaiters()
 }
 
 // size is how many connections there are.
--- a/gateway/pool_test.go
+++ b/gateway/pool_test.go
@@ -15,15 +15,15 @@
 )
 
 // poolWorld is a pool whose time, dials and timers a test moves; its connections lead to a stand-in of an instance.
-type poolWorld struct {
+type poolHarness struct {
 	*pool
-	instance *standinInstance
-	time     time.Duration
-	jobs     []func()
-	timers   []poolTimer
-	made     []*wire.Conn
-	limit    int // connections that the instance takes; 0: any number
-	deaf     bool
+	instance      *fakeInstance
+	time          time.Duration
+	jobs          []func()
+	timers        []poolTimer
+	dialed        []*wire.Conn
+	instanceLimit int // connections that the instance takes; 0: any number
+	isUnreachable bool
 }
 
 type poolTimer struct {
@@ -31,379 +31,381 @@
 	work func()
 }
 
-var errDeaf = errors.New("the instance doesn't answer")
+var errUnreachable = errors.New("the instance doesn't answer")
 
 // far is a time that no waiter of these tests lives to see.
-const far = time.Hour
+const farDeadline = time.Hour
 
-func newPoolWorld(instance *standinInstance, most int) *poolWorld {
-	w := &poolWorld{instance: instance}
+func newPoolHarness(instance *fakeInstance, allowed int) *poolHarness {
+	harness := &poolHarness{instance: instance}
 	key := poolKey{service: "orders", instanceID: instance.id, address: instance.address()}
-	w.pool = newPool(key, "edge-1", func() time.Duration { return w.time }, func(string) {}, &backendCounts{})
-	w.pool.limit, w.pool.most = most, most
-	w.launch = func(work func()) { w.jobs = append(w.jobs, work) }
-	w.after = func(pause time.Duration, work func()) {
-		w.timers = append(w.timers, poolTimer{at: w.time + pause, work: work})
+	harness.pool = newPool(key, "edge-1", func() time.Duration { return harness.time }, func(string) {}, &backendCounts{})
+	harness.pool.limit, harness.pool.allowed = allowed, allowed
+	harness.launch = func(work func()) { harness.jobs = append(harness.jobs, work) }
+	harness.schedule = func(pause time.Duration, work func()) {
+		harness.timers = append(harness.timers, poolTimer{at: harness.time + pause, work: work})
 	}
-	w.dial = func(ctx context.Context, tenant string) (*wire.Conn, error) {
-		if w.deaf {
-			return nil, errDeaf
+	harness.dial = func(ctx context.Context, tenant string) (*wire.Conn, error) {
+		if harness.isUnreachable {
+			return nil, errUnreachable
 		}
-		if w.limit > 0 && w.standing() >= w.limit {
+		if harness.instanceLimit > 0 && harness.openAtInstance() >= harness.instanceLimit {
 			return nil, &wire.Refused{Code: wire.ConnLimit}
 		}
-		conn, err := w.dialInstance(ctx, tenant)
+		conn, err := harness.dialInstance(ctx, tenant)
 		if err == nil {
-			w.made = append(w.made, conn)
+			harness.dialed = append(harness.dialed, conn)
 		}
 		return conn, err
 	}
-	return w
+	return harness
 }
 
 // standing is how many connections this pool keeps at the instance.
-func (w *poolWorld) standing() int {
-	w.made = slices.DeleteFunc(w.made, func(conn *wire.Conn) bool { return !conn.Usable() })
-	return len(w.made)
+func (harness *poolHarness) openAtInstance() int {
+	harness.dialed = slices.DeleteFunc(harness.dialed, func(conn *wire.Conn) bool { return !conn.Usable() })
+	return len(harness.dialed)
 }
 
 // end closes what is open.
-func (w *poolWorld) end() {
-	for _, conn := range w.made {
+func (harness *poolHarness) closeAll() {
+	for _, conn := range harness.dialed {
 		conn.Close()
 	}
 }
 
 // work does what was launched, and all that follows from it, within the same moment.
-func (w *poolWorld) work() {
-	for len(w.jobs) > 0 {
-		job := w.jobs[0]
-		w.jobs = w.jobs[1:]
+func (harness *poolHarness) runJobs() {
+	for len(harness.jobs) > 0 {
+		job := harness.jobs[0]
+		harness.jobs = harness.jobs[1:]
 		job()
 	}
 }
 
 // pass lets time pass, with the timers that fall due.
-func (w *poolWorld) pass(long time.Duration) {
-	until := w.time + long
+func (harness *poolHarness) advance(duration time.Duration) {
+	until := harness.time + duration
 	for {
-		due := slices.IndexFunc(w.timers, func(one poolTimer) bool { return one.at <= until })
+		due := slices.IndexFunc(harness.timers, func(timer poolTimer) bool { return timer.at <= until })
 		if due < 0 {
 			break
 		}
-		one := w.timers[due]
-		w.timers = slices.Delete(w.timers, due, due+1)
-		w.time = max(w.time, one.at)
-		one.work()
-		w.work()
+		timer := harness.timers[due]
+		harness.timers = slices.Delete(harness.timers, due, due+1)
+		harness.time = max(harness.time, timer.at)
+		timer.work()
+		harness.runJobs()
 	}
-	w.time = until
+	harness.time = until
 }
 
 // caller is one session of a tenant that asks the pool.
 type caller struct {
-	tenant  string
-	held    *backend
-	waiting *waiter
-	open    *interest
+	tenant   string
+	backend  *backend
+	waiter   *waiter
+	liveness *liveness
 }
 
-func (w *poolWorld) ask(tenant string, priority int) *caller {
-	asking := &caller{tenant: tenant, open: &interest{}}
-	asked := ask{session: session.New(), interest: asking.open, tenant: tenant, priority: priority, until: far}
-	asking.held, asking.waiting, _ = w.takeOrQueue(asked)
-	return asking
+func (harness *poolHarness) acquireAsync(tenant string, priority int) *caller {
+	caller := &caller{tenant: tenant, liveness: &liveness{}}
+	request := acquireRequest{session: session.New(), liveness: caller.liveness, tenant: tenant, priority: priority, until: farDeadline}
+	caller.backend, caller.waiter, _ = harness.takeOrQueue(request)
+	return caller
 }
 
 // has tells whether the caller has a connection by now.
-func (c *caller) has() bool {
-	if c.waiting != nil {
+func (c *caller) hasBackend() bool {
+	if c.waiter != nil {
 		select {
-		case c.held = <-c.waiting.given:
-			c.waiting = nil
+		case c.backend = <-c.waiter.given:
+			c.waiter = nil
 		default:
 		}
 	}
-	return c.held != nil
+	return c.backend != nil
 }
 
 // giveBack returns the connection.
-func (w *poolWorld) giveBack(from *caller) {
-	lent := from.held
-	from.held = nil
-	w.free(lent)
+func (harness *poolHarness) giveBack(from *caller) {
+	backend := from.backend
+	from.backend = nil
+	harness.release(backend)
 }
 
 // dialsMade is how many connections were made for the reason.
-func (w *poolWorld) dialsMade(why dialReason) uint64 { return w.counts.made[why].Load() }
+func (harness *poolHarness) dialsFor(reason dialReason) uint64 {
+	return harness.counts.made[reason].Load()
+}
 
 // A tenant whose connections are never idle kept all other tenants out of a full pool.
 func TestTenantWithoutAConnectionIsNotKeptOutByOthers(t *testing.T) {
 	is := is.New(t)
-	w := newPoolWorld(startInstance(t, "i-1"), 1)
-	defer w.end()
-	first := w.ask("bakers", 1)
-	w.work()
-	is.True(first.has())
-	other := w.ask("smiths", 1)
-	queue := []*caller{w.ask("bakers", 1), w.ask("bakers", 1)}
-	w.giveBack(first)
-	w.work()
-	is.True(other.has())
-	is.Equal(other.held.tenant, "smiths")
-	w.giveBack(other)
-	w.work()
+	harness := newPoolHarness(startFakeInstance(t, "i-1"), 1)
+	defer harness.closeAll()
+	first := harness.acquireAsync("bakers", 1)
+	harness.runJobs()
+	is.True(first.hasBackend())
+	other := harness.acquireAsync("smiths", 1)
+	queue := []*caller{harness.acquireAsync("bakers", 1), harness.acquireAsync("bakers", 1)}
+	harness.giveBack(first)
+	harness.runJobs()
+	is.True(other.hasBackend())
+	is.Equal(other.backend.tenant, "smiths")
+	harness.giveBack(other)
+	harness.runJobs()
 	for _, next := range queue {
-		is.True(next.has())
-		is.Equal(next.held.tenant, "bakers")
-		w.giveBack(next)
+		is.True(next.hasBackend())
+		is.Equal(next.backend.tenant, "bakers")
+		harness.giveBack(next)
 	}
-	is.Equal(w.dialsMade(firstOfTenant), uint64(2))
-	is.Equal(w.dialsMade(afterGaveWay), uint64(1))
+	is.Equal(harness.dialsFor(firstOfTenant), uint64(2))
+	is.Equal(harness.dialsFor(afterEviction), uint64(1))
 }
 
 // Higher priorities took away each connection that had just been made for a waiter, and it was made again and again.
 func TestConnectionThatWasMadeForAWaiterIsItsOwn(t *testing.T) {
 	is := is.New(t)
-	w := newPoolWorld(startInstance(t, "i-1"), 1)
-	defer w.end()
-	low := w.ask("bakers", 3)
-	high := w.ask("smiths", 0)
-	w.work()
-	is.True(low.has())
-	w.giveBack(low)
-	w.work()
-	is.True(high.has())
+	harness := newPoolHarness(startFakeInstance(t, "i-1"), 1)
+	defer harness.closeAll()
+	low := harness.acquireAsync("bakers", 3)
+	high := harness.acquireAsync("smiths", 0)
+	harness.runJobs()
+	is.True(low.hasBackend())
+	harness.giveBack(low)
+	harness.runJobs()
+	is.True(high.hasBackend())
 }
 
 // A waiter whose connection could not be made waited until something else happened in the pool.
 func TestWaiterIsTriedForAgain(t *testing.T) {
 	is := is.New(t)
-	w := newPoolWorld(startInstance(t, "i-1"), 3)
-	defer w.end()
-	first := w.ask("bakers", 1)
-	w.work()
-	is.True(first.has())
-	w.deaf = true
-	other := w.ask("smiths", 1)
-	w.work()
-	w.pass(2 * retryDial)
-	is.True(!other.has())
-	w.deaf = false
-	w.pass(retryDial)
-	is.True(other.has())
+	harness := newPoolHarness(startFakeInstance(t, "i-1"), 3)
+	defer harness.closeAll()
+	first := harness.acquireAsync("bakers", 1)
+	harness.runJobs()
+	is.True(first.hasBackend())
+	harness.isUnreachable = true
+	other := harness.acquireAsync("smiths", 1)
+	harness.runJobs()
+	harness.advance(2 * dialRetryPause)
+	is.True(!other.hasBackend())
+	harness.isUnreachable = false
+	harness.advance(dialRetryPause)
+	is.True(other.hasBackend())
 }
 
 // A waiter that came in the pause after a connection could not be made waited until something else happened in the pool.
 func TestWaiterThatComesInThePauseIsTriedFor(t *testing.T) {
 	is := is.New(t)
-	w := newPoolWorld(startInstance(t, "i-1"), 3)
-	defer w.end()
-	first := w.ask("bakers", 1)
-	w.work()
-	is.True(first.has())
-	w.deaf = true
-	gone := w.ask("smiths", 1)
-	is.True(w.giveUp(gone.waiting))
-	w.work()
-	w.deaf = false
-	other := w.ask("smiths", 1)
-	w.pass(retryDial)
-	is.True(other.has())
+	harness := newPoolHarness(startFakeInstance(t, "i-1"), 3)
+	defer harness.closeAll()
+	first := harness.acquireAsync("bakers", 1)
+	harness.runJobs()
+	is.True(first.hasBackend())
+	harness.isUnreachable = true
+	gone := harness.acquireAsync("smiths", 1)
+	is.True(harness.cancelWait(gone.waiter))
+	harness.runJobs()
+	harness.isUnreachable = false
+	other := harness.acquireAsync("smiths", 1)
+	harness.advance(dialRetryPause)
+	is.True(other.hasBackend())
 }
 
 // At an instance's limit a waiter was refused although connections were idle here.
 func TestIdleConnectionGivesWayAtTheInstancesLimit(t *testing.T) {
 	is := is.New(t)
-	w := newPoolWorld(startInstance(t, "i-1"), 8)
-	defer w.end()
-	w.limit = 2
-	one, two := w.ask("bakers", 1), w.ask("smiths", 1)
-	w.work()
-	is.True(one.has() && two.has())
-	w.giveBack(one)
-	other := w.ask("weavers", 1)
-	w.work()
-	is.True(other.has())
-	is.Equal(w.counts.limited.Load(), uint64(1))
-	is.Equal(w.retention.wanted, wantedTime/2)
+	harness := newPoolHarness(startFakeInstance(t, "i-1"), 8)
+	defer harness.closeAll()
+	harness.instanceLimit = 2
+	one, two := harness.acquireAsync("bakers", 1), harness.acquireAsync("smiths", 1)
+	harness.runJobs()
+	is.True(one.hasBackend() && two.hasBackend())
+	harness.giveBack(one)
+	other := harness.acquireAsync("weavers", 1)
+	harness.runJobs()
+	is.True(other.hasBackend())
+	is.Equal(harness.counts.limited.Load(), uint64(1))
+	is.Equal(harness.retention.liveTime, maxLiveTime/2)
 }
 
 func TestLeastWantedGivesWayFirst(t *testing.T) {
 	is := is.New(t)
-	w := newPoolWorld(startInstance(t, "i-1"), 3)
-	defer w.end()
+	harness := newPoolHarness(startFakeInstance(t, "i-1"), 3)
+	defer harness.closeAll()
 	for _, tenant := range []string{"bakers", "smiths", "weavers"} {
-		asking := w.ask(tenant, 1)
-		w.work()
-		is.True(asking.has())
-		w.giveBack(asking)
+		asking := harness.acquireAsync(tenant, 1)
+		harness.runJobs()
+		is.True(asking.hasBackend())
+		harness.giveBack(asking)
 		if tenant == "smiths" {
-			asking.open.end()
+			asking.liveness.end()
 		}
-		w.pass(time.Millisecond)
+		harness.advance(time.Millisecond)
 	}
 	idle := func() (tenants []string) {
-		for _, unused := range w.idle {
+		for _, unused := range harness.idle {
 			tenants = append(tenants, unused.tenant)
 		}
 		return tenants
 	}
-	w.ask("tanners", 1)
-	w.work()
+	harness.acquireAsync("tanners", 1)
+	harness.runJobs()
 	is.Equal(idle(), []string{"bakers", "weavers"}) // the smiths' session had ended
-	w.ask("coopers", 1)
-	w.work()
+	harness.acquireAsync("coopers", 1)
+	harness.runJobs()
 	is.Equal(idle(), []string{"weavers"})
 }
 
 // Idle connections that each gateway kept for each tenant filled the instances up, and operations were refused.
 func TestIdleConnectionsOfTenantsAreKeptForSeconds(t *testing.T) {
 	is := is.New(t)
-	w := newPoolWorld(startInstance(t, "i-1"), 20)
-	defer w.end()
+	harness := newPoolHarness(startFakeInstance(t, "i-1"), 20)
+	defer harness.closeAll()
 	tenants := []string{"", "", "", "bakers", "smiths", "weavers", "tanners"}
 	var callers []*caller
 	for _, tenant := range tenants {
-		callers = append(callers, w.ask(tenant, 1))
+		callers = append(callers, harness.acquireAsync(tenant, 1))
 	}
-	w.work()
+	harness.runJobs()
 	for _, asking := range callers {
-		is.True(asking.has())
-		w.giveBack(asking)
+		is.True(asking.hasBackend())
+		harness.giveBack(asking)
 	}
-	callers[len(callers)-1].open.end()
+	callers[len(callers)-1].liveness.end()
 	left := func(after time.Duration) int {
-		w.pass(after - w.time)
-		w.trim()
-		return w.size()
+		harness.advance(after - harness.time)
+		harness.trim()
+		return harness.size()
 	}
-	is.Equal(left(unwantedTime-1), 7)
-	is.Equal(left(unwantedTime), 6) // without the tanners', whose session has ended
-	is.Equal(left(surplusTime), 5)  // without the bakers', since two were used later
-	is.Equal(left(wantedTime-1), 5)
-	is.Equal(left(wantedTime), 3) // nobody's are kept as before there were tenants
-	is.Equal(left(idleTime), 3)
-	is.Equal(left(idleTime+1), 2)
+	is.Equal(left(endedTime-1), 7)
+	is.Equal(left(endedTime), 6)   // without the tanners', whose session has ended
+	is.Equal(left(surplusTime), 5) // without the bakers', since two were used later
+	is.Equal(left(maxLiveTime-1), 5)
+	is.Equal(left(maxLiveTime), 3) // nobody's are kept as before there were tenants
+	is.Equal(left(maxIdleTime), 3)
+	is.Equal(left(maxIdleTime+1), 2)
 	is.Equal(left(24*time.Hour), 2)
-	is.Equal(len(w.parts), 5)
-	w.forgetParts()
-	is.Equal(len(w.parts), 1) // no name of a tenant is kept for ever
-	is.Equal(w.parts[""].open, w.open)
+	is.Equal(len(harness.tenants), 5)
+	harness.forgetTenants()
+	is.Equal(len(harness.tenants), 1) // no name of a tenant is kept for ever
+	is.Equal(harness.tenants[""].open, harness.open)
 }
 
 func TestRetentionHalvesAtTheLimitAndGrowsSlowly(t *testing.T) {
 	is := is.New(t)
 	kept := newRetention()
-	kept.refused(0)
-	kept.refused(shortenPause - 1) // of the same moment
-	is.Equal(kept.wanted, wantedTime/2)
+	kept.shorten(0)
+	kept.shorten(shortenPause - 1) // of the same moment
+	is.Equal(kept.liveTime, maxLiveTime/2)
 	now := time.Duration(0)
 	for range 20 {
 		now += shortenPause
-		kept.refused(now)
+		kept.shorten(now)
 	}
-	is.Equal(kept.wanted, wantedLeast)
-	is.Equal(kept.keep(false, 0), wantedLeast)
-	kept.lengthen(now + lengthenEvery - 1)
-	is.Equal(kept.wanted, wantedLeast)
-	kept.lengthen(now + lengthenEvery)
-	kept.lengthen(now + lengthenEvery + 1)
-	is.Equal(kept.wanted, wantedLeast+lengthenBy)
+	is.Equal(kept.liveTime, minLiveTime)
+	is.Equal(kept.keepTime(false, 0), minLiveTime)
+	kept.lengthen(now + lengthenInterval - 1)
+	is.Equal(kept.liveTime, minLiveTime)
+	kept.lengthen(now + lengthenInterval)
+	kept.lengthen(now + lengthenInterval + 1)
+	is.Equal(kept.liveTime, minLiveTime+lengthenBy)
 	for range 100 {
-		now += 2 * lengthenEvery
+		now += 2 * lengthenInterval
 		kept.lengthen(now)
 	}
-	is.Equal(kept.wanted, wantedTime)
+	is.Equal(kept.liveTime, maxLiveTime)
 }
 
 // UNASKED: a connection that was made for one tenant was lent to another's session; and waiters that were never helped.
 func TestPoolOfTenantsUnderRandomUse(t *testing.T) {
-	instance := startInstance(t, "i-1")
+	instance := startFakeInstance(t, "i-1")
 	rapid.Check(t, func(t *rapid.T) {
-		use := &poolUse{T: t, poolWorld: newPoolWorld(instance, rapid.IntRange(1, 5).Draw(t, "most"))}
-		defer use.end()
-		use.limit = rapid.IntRange(0, 5).Draw(t, "limit")
+		use := &randomPoolUse{T: t, poolHarness: newPoolHarness(instance, rapid.IntRange(1, 5).Draw(t, "most"))}
+		defer use.closeAll()
+		use.instanceLimit = rapid.IntRange(0, 5).Draw(t, "limit")
 		t.Repeat(map[string]func(*rapid.T){
-			"ask":   use.askAny,
-			"work":  func(*rapid.T) { use.work() },
+			"ask":   use.acquireAny,
+			"work":  func(*rapid.T) { use.runJobs() },
 			"free":  func(t *rapid.T) { use.returnAny(t, use.giveBack) },
-			"drop":  func(t *rapid.T) { use.returnAny(t, use.breakOff) },
-			"leave": use.leaveAny,
-			"pass":  func(t *rapid.T) { use.pass(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond) },
+			"drop":  func(t *rapid.T) { use.returnAny(t, use.discardBackend) },
+			"leave": use.cancelAnyWait,
+			"pass":  func(t *rapid.T) { use.advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond) },
 			"trim":  func(*rapid.T) { use.trim() },
-			"deaf":  func(t *rapid.T) { use.deaf = rapid.Bool().Draw(t, "deaf") },
+			"deaf":  func(t *rapid.T) { use.isUnreachable = rapid.Bool().Draw(t, "deaf") },
 			"":      use.check,
 		})
-		use.helpAll()
+		use.serveEveryone()
 	})
 }
 
 // poolUse is a random use of a pool.
-type poolUse struct {
+type randomPoolUse struct {
 	*rapid.T
-	*poolWorld
+	*poolHarness
 	callers []*caller
 }
 
-func (u *poolUse) askAny(t *rapid.T) {
+func (u *randomPoolUse) acquireAny(t *rapid.T) {
 	tenant := rapid.SampledFrom([]string{"bakers", "smiths", "weavers", ""}).Draw(t, "tenant")
-	u.callers = append(u.callers, u.ask(tenant, rapid.IntRange(0, 2).Draw(t, "priority")))
+	u.callers = append(u.callers, u.acquireAsync(tenant, rapid.IntRange(0, 2).Draw(t, "priority")))
 }
 
 // holders are the callers that have a connection.
-func (u *poolUse) holders() []*caller {
-	return slices.DeleteFunc(slices.Clone(u.callers), func(one *caller) bool { return !one.has() })
+func (u *randomPoolUse) holders() []*caller {
+	return slices.DeleteFunc(slices.Clone(u.callers), func(one *caller) bool { return !one.hasBackend() })
 }
 
-func (u *poolUse) returnAny(t *rapid.T, give func(*caller)) {
+func (u *randomPoolUse) returnAny(t *rapid.T, give func(*caller)) {
 	holders := u.holders()
 	if len(holders) == 0 {
 		return
 	}
 	chosen := rapid.SampledFrom(holders).Draw(t, "caller")
 	if rapid.Bool().Draw(t, "ends") {
-		chosen.open.end()
+		chosen.liveness.end()
 	}
 	give(chosen)
 }
 
-func (u *poolUse) breakOff(from *caller) {
-	lent := from.held
-	from.held = nil
-	u.drop(lent)
+func (u *randomPoolUse) discardBackend(from *caller) {
+	backend := from.backend
+	from.backend = nil
+	u.discard(backend)
 }
 
 // leaveAny lets a waiter's time run out.
-func (u *poolUse) leaveAny(t *rapid.T) {
-	waiting := slices.DeleteFunc(slices.Clone(u.callers), func(one *caller) bool { return one.has() || one.waiting == nil })
+func (u *randomPoolUse) cancelAnyWait(t *rapid.T) {
+	waiting := slices.DeleteFunc(slices.Clone(u.callers), func(one *caller) bool { return one.hasBackend() || one.waiter == nil })
 	if len(waiting) == 0 {
 		return
 	}
 	chosen := rapid.SampledFrom(waiting).Draw(t, "caller")
-	if u.giveUp(chosen.waiting) {
-		chosen.waiting = nil
+	if u.cancelWait(chosen.waiter) {
+		chosen.waiter = nil
 	}
 }
 
 // check looks at what must hold at every moment.
-func (u *poolUse) check(*rapid.T) {
+func (u *randomPoolUse) check(*rapid.T) {
 	lent, making, parts := 0, 0, 0
 	for _, one := range u.holders() {
 		lent++
-		if one.held.tenant != one.tenant {
-			u.Fatalf("a connection of %q is lent to %q", one.held.tenant, one.tenant)
+		if one.backend.tenant != one.tenant {
+			u.Fatalf("a connection of %q is lent to %q", one.backend.tenant, one.tenant)
 		}
 	}
-	for _, held := range u.parts {
-		making += held.making
-		parts += held.open
+	for _, use := range u.tenants {
+		making += use.dialing
+		parts += use.open
 	}
 	if u.open != lent+making+len(u.idle) || u.open != parts {
 		u.Fatalf("%d open, by tenant %d, but %d lent, %d being made, %d idle", u.open, parts, lent, making, len(u.idle))
 	}
-	if u.open > u.most || u.most > u.pool.limit {
-		u.Fatalf("%d open of %d, and %d by the configuration", u.open, u.most, u.pool.limit)
+	if u.open > u.allowed || u.allowed > u.pool.limit {
+		u.Fatalf("%d open of %d, and %d by the configuration", u.open, u.allowed, u.pool.limit)
 	}
 	if making == 0 && u.time >= u.retryAt && len(u.waiting) > 0 && len(u.idle) > 0 {
 		u.Fatalf("%d wait while %d are idle", len(u.waiting), len(u.idle))
@@ -411,45 +413,45 @@
 }
 
 // comesAgain is the priority of those who come again, behind all others.
-const comesAgain = 9
+const repeatPriority = 9
 
 // helpAll: once the instance answers and connections are given back, everybody is helped, each on a connection made under its tenant's name,
 // though others of the tenants that have connections come again and again.
-func (u *poolUse) helpAll() {
-	u.deaf, u.poolWorld.limit = false, 0
+func (u *randomPoolUse) serveEveryone() {
+	u.isUnreachable, u.poolHarness.instanceLimit = false, 0
 	for range 3 * (len(u.callers) + 1) {
-		u.pass(retryDial)
-		u.work()
+		u.advance(dialRetryPause)
+		u.runJobs()
 		u.check(u.T)
 		for _, one := range u.holders() {
-			u.runsFor(one)
-			again := u.ask(one.tenant, comesAgain)
+			u.checkRunsAs(one)
+			again := u.acquireAsync(one.tenant, repeatPriority)
 			u.giveBack(one)
 			u.callers = append(u.callers, again)
 		}
 	}
-	left := slices.IndexFunc(u.waiting, func(wait *waiter) bool { return wait.priority < comesAgain })
+	left := slices.IndexFunc(u.waiting, func(waiter *waiter) bool { return waiter.priority < repeatPriority })
 	if left >= 0 {
-		u.Fatalf("%q waits for ever: %d open of %d", u.waiting[left].tenant, u.open, u.most)
+		u.Fatalf("%q waits for ever: %d open of %d", u.waiting[left].tenant, u.open, u.allowed)
 	}
 }
 
-func (u *poolUse) runsFor(one *caller) {
+func (u *randomPoolUse) checkRunsAs(one *caller) {
 	want := one.tenant
 	if want == "" {
-		want = u.who
+		want = u.defaultUser
 	}
-	if _, err := one.held.conn.QueryBy(time.Now().Add(5*time.Second), "1", "FETCH a"); err != nil {
+	if _, err := one.backend.conn.QueryBy(time.Now().Add(5*time.Second), "1", "FETCH a"); err != nil {
 		u.Fatal(err)
 	}
-	if got := u.lastWho(); got != want {
+	if got := u.lastUser(); got != want {
 		u.Fatalf("a statement of %q ran for %q", want, got)
 	}
 }
 
 // lastWho is the name under which the last statement ran. The instance has seen too many to hand out all of them.
-func (u *poolUse) lastWho() string {
+func (u *randomPoolUse) lastUser() string {
 	u.instance.mutex.Lock()
 	defer u.instance.mutex.Unlock()
-	return u.instance.ran[len(u.instance.ran)-1].who
+	return u.instance.statements[len(u.instance.statements)-1].user
 }
--- a/gateway/reads.go
+++ b/gateway/reads.go
@@ -14,62 +14,62 @@
 )
 
 // replicaTries is how many replicas a read is offered to, before the leader gets it.
-const replicaTries = 2
+const maxReplicaTries = 2
 
 // reads is what is known of a service for reads that may be some time old. It belongs to the gateway's lock.
-type reads struct {
+type readState struct {
 	positions role.Positions
 	picker    *routing.Picker
 }
 
 // readsOf is called with the lock held.
-func (g *Gateway) readsOf(service string) *reads {
-	known := g.reads[service]
-	if known == nil {
+func (g *Gateway) readState(service string) *readState {
+	state := g.readStates[service]
+	if state == nil {
 		random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-		known = &reads{picker: routing.NewPicker(g.settings.Zone, random)}
-		g.reads[service] = known
+		state = &readState{picker: routing.NewPicker(g.settings.Zone, random)}
+		g.readStates[service] = state
 	}
-	return known
+	return state
 }
 
 // forgetReads forgets services that are gone, and instances that are. It is called with the lock held.
-func (g *Gateway) forgetReads() {
-	for name, known := range g.reads {
+func (g *Gateway) forgetRemovedInstances() {
+	for name, state := range g.readStates {
 		target := g.directory.services[name]
 		if target == nil {
-			delete(g.reads, name)
+			delete(g.readStates, name)
 			continue
 		}
-		known.picker.Keep(target.Instances)
+		state.picker.Keep(target.Instances)
 	}
 }
 
 // departRead finds a replica for a read, and registers the flight in the same moment; nil: the leader is to have it.
-func (g *Gateway) departRead(database string, key access.Key, written failover.Position, tried []string) *flight {
+func (g *Gateway) startAtReplica(database string, key access.Key, lastCommit failover.Position, tried []string) *flight {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	now := g.now()
-	found, replicas := g.directory.placeRead(now, database)
-	if len(replicas) == 0 || g.directory.rejects(now, database, key) {
+	now := g.elapsed()
+	placement, replicas := g.directory.placeStaleRead(now, database)
+	if len(replicas) == 0 || g.directory.rejectsKey(now, database, key) {
 		return nil
 	}
-	found.key = key
-	found.tenant, _ = g.directory.access.Admit(found.route, key)
-	known := g.readsOf(found.route.TargetService)
-	after, covered := boundOf(found.route).MustSee(now, &known.positions, written)
-	if !covered {
+	placement.key = key
+	placement.tenant, _ = g.directory.access.Admit(placement.route, key)
+	state := g.readState(placement.route.TargetService)
+	minPosition, isKnown := boundOf(placement.route).MustSee(now, &state.positions, lastCommit)
+	if !isKnown {
 		return nil
 	}
-	chosen, any := known.picker.Choose(now, replicas, tried)
-	if !any {
+	chosen, isFound := state.picker.Choose(now, replicas, tried)
+	if !isFound {
 		return nil
 	}
-	known.picker.Began(chosen.ID)
-	found.replica, found.address, found.after = chosen, chosen.Address, after
-	under := &flight{placed: found}
-	g.flights[under] = struct{}{}
-	return under
+	state.picker.Began(chosen.ID)
+	placement.replica, placement.address, placement.minPosition = chosen, chosen.Address, minPosition
+	flight := &flight{placement: placement}
+	g.flights[flight] = struct{}{}
+	return flight
 }
 
 // boundOf is what a read of the route must see.
@@ -81,7 +81,7 @@
 }
 
 // replicaAnswered notes what came of a read at a replica.
-func (g *Gateway) replicaAnswered(under *flight, outcome session.Outcome, took time.Duration) {
+func (g *Gateway) recordReplicaResult(flight *flight, outcome session.Outcome, took time.Duration) {
 	result := resultOf(outcome)
 	if result == routing.Served {
 		g.counters.replicaReads.Add(1)
@@ -91,16 +91,16 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.readsOf(under.placed.route.TargetService).picker.Ended(g.now(), under.placed.replica.ID, result, took)
+	g.readState(flight.placement.route.TargetService).picker.Ended(g.elapsed(), flight.placement.replica.ID, result, took)
 }
 
 // wasNotAsked tells whether a statement was stopped here, for a reason that has nothing to do with the instance.
-func wasNotAsked(reason string) bool { return reason == overLimit || reason == string(frozen) }
+func wasStoppedLocally(reason string) bool { return reason == overLimit || reason == string(frozen) }
 
 // resultOf reads what an outcome says of the instance.
 func resultOf(outcome session.Outcome) routing.Result {
 	switch {
-	case outcome.Kind == session.NotRun && (outcome.Intact || wasNotAsked(outcome.Reason)):
+	case outcome.Kind == session.NotRun && (outcome.Intact || wasStoppedLocally(outcome.Reason)):
 		return routing.Unsaid
 	case outcome.Kind == session.NotRun && outcome.Reason == errNoConnection.Error():
 		return routing.Busy
@@ -122,8 +122,8 @@
 
 // leaderNamed notes the position that the leader named in an answer to what was sent no earlier than asked, if it was the lawful leader all the
 // while.
-func (g *Gateway) leaderNamed(under *flight, asked time.Duration, answer wire.Answer) {
-	if under.placed.atReplica() || answer.State != wire.Idle {
+func (g *Gateway) recordLeaderPosition(flight *flight, askedAt time.Duration, answer wire.Answer) {
+	if flight.placement.atReplica() || answer.State != wire.Idle {
 		return // inside a transaction the position may be that of its beginning
 	}
 	position, err := wire.ParsePosition(answer.Position)
@@ -132,7 +132,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.directory.lasted(g.now(), under.placed) {
-		g.readsOf(under.placed.route.TargetService).positions.Saw(asked, position)
+	if g.directory.remainedValid(g.elapsed(), flight.placement) {
+		g.readState(flight.placement.route.TargetService).positions.Saw(askedAt, position)
 	}
 }
--- a/gateway/reads_test.go
+++ b/gateway/reads_test.go
@@ -23,151 +23,151 @@
 	"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000,"txnIdleMs":1500}}`
 
 // startReading starts a world with a route of each class, whose gateway knows a position of the leader.
-func startReading(t *testing.T) *world {
+func startEnvWithReadRoutes(t *testing.T) *testEnv {
 	t.Helper()
-	w := startWorld(t)
-	w.publishReads(2, func(*feed.Service) {})
-	w.eventually("the table is applied", func() bool { return w.controller.applied(2) })
-	w.connectTo("shop", "first").must("FETCH a", `COMPLETE stamp [""] / I`)
-	return w
+	env := startEnv(t)
+	env.publishReadRoutes(2, func(*feed.Service) {})
+	env.eventually("the table is applied", func() bool { return env.controller.hasApplied(2) })
+	env.connectTo("shop", "first").expect("FETCH a", `COMPLETE stamp [""] / I`)
+	return env
 }
 
-func (w *world) publishReads(sequence uint64, change func(*feed.Service)) {
-	table := w.table(sequence, "i-1", false)
+func (env *testEnv) publishReadRoutes(sequence uint64, change func(*feed.Service)) {
+	table := env.table(sequence, "i-1", false)
 	table.ConfigurationNumber, table.Configuration = 8, []byte(readRoutes)
 	change(&table.Services[0])
-	w.controller.publish(table)
+	env.controller.publish(table)
 }
 
 // lastOf is the last text that a client had run at an instance.
-func lastOf(at *standinInstance) string {
-	ran := at.asked()
-	if len(ran) == 0 {
+func lastText(instance *fakeInstance) string {
+	statements := instance.clientStatements()
+	if len(statements) == 0 {
 		return ""
 	}
-	return ran[len(ran)-1].text
+	return statements[len(statements)-1].text
 }
 
 func TestReadsThatMayBeOldGoToAReplica(t *testing.T) {
 	is := is.New(t)
-	w := startReading(t)
-	w.connectTo("browse", "b").must("FETCH x", `COMPLETE stamp [""] / I`)
-	is.Equal(lastOf(w.second), "AFTERPOS 3.2 FETCH x")
-	is.Equal(len(w.first.asked()), 1)
-
-	shop := w.connectTo("shop", "s")
-	shop.must("FETCH y", `COMPLETE stamp [""] / I`)
-	is.Equal(lastOf(w.first), "FETCH y") // a primary route's read must see all
-	browse := w.connectTo("browse", "c")
-	browse.must("PREPARE p FETCH q", "COMPLETE - / I")
-	browse.must("EXECUTE p z", `COMPLETE stamp [""] / I`)
-	is.Equal(lastOf(w.second), "AFTERPOS 3.2 EXECUTE fq z")
-	browse.must("PUT z 1", "COMPLETE stamp / I") // writes go to the leader from everywhere
-	is.Equal(lastOf(w.first), "PUT z 1")
+	env := startEnvWithReadRoutes(t)
+	env.connectTo("browse", "b").expect("FETCH x", `COMPLETE stamp [""] / I`)
+	is.Equal(lastText(env.second), "AFTERPOS 3.2 FETCH x")
+	is.Equal(len(env.first.clientStatements()), 1)
+
+	shop := env.connectTo("shop", "s")
+	shop.expect("FETCH y", `COMPLETE stamp [""] / I`)
+	is.Equal(lastText(env.first), "FETCH y") // a primary route's read must see all
+	browse := env.connectTo("browse", "c")
+	browse.expect("PREPARE p FETCH q", "COMPLETE - / I")
+	browse.expect("EXECUTE p z", `COMPLETE stamp [""] / I`)
+	is.Equal(lastText(env.second), "AFTERPOS 3.2 EXECUTE fq z")
+	browse.expect("PUT z 1", "COMPLETE stamp / I") // writes go to the leader from everywhere
+	is.Equal(lastText(env.first), "PUT z 1")
 }
 
 func TestTransactionThatReadsStaysAtItsReplica(t *testing.T) {
 	is := is.New(t)
-	w := startReading(t)
-	browse := w.connectTo("browse", "b")
-	browse.must("BEGIN FETCH", "COMPLETE stamp / T")
-	browse.must("FETCH x", `COMPLETE stamp [""] / T`)
-	w.publishReads(3, func(service *feed.Service) { service.Frozen = true }) // which concerns the leader alone
-	w.eventually("the freeze is acknowledged", func() bool { return w.controller.applied(3) })
-	browse.must("FETCH y", `COMPLETE stamp [""] / T`)
-	browse.must("COMMIT", "COMPLETE stamp / I")
-	texts := w.second.texts()
+	env := startEnvWithReadRoutes(t)
+	browse := env.connectTo("browse", "b")
+	browse.expect("BEGIN FETCH", "COMPLETE stamp / T")
+	browse.expect("FETCH x", `COMPLETE stamp [""] / T`)
+	env.publishReadRoutes(3, func(service *feed.Service) { service.Frozen = true }) // which concerns the leader alone
+	env.eventually("the freeze is acknowledged", func() bool { return env.controller.hasApplied(3) })
+	browse.expect("FETCH y", `COMPLETE stamp [""] / T`)
+	browse.expect("COMMIT", "COMPLETE stamp / I")
+	texts := env.second.texts()
 	is.Equal(texts, []string{"b1 AFTERPOS 3.2 BEGIN FETCH", "b2 FETCH x", "b3 FETCH y", "b4 COMMIT"})
-	other := w.connectTo("browse", "o")
-	other.must("BEGIN", "ERROR BUSY / I") // it may write, so it needs the leader
+	other := env.connectTo("browse", "o")
+	other.expect("BEGIN", "ERROR BUSY / I") // it may write, so it needs the leader
 }
 
 func TestReadSeesWhatItsSessionCommitted(t *testing.T) {
 	is := is.New(t)
-	w := startReading(t)
-	own := w.connectTo("own", "o")
-	own.must("FETCH x", `COMPLETE stamp [""] / I`)
-	is.Equal(lastOf(w.second), "AFTERPOS 3.2 FETCH x")
-	w.first.reach(9)
-	own.must("PUT x new", "COMPLETE stamp / I")
-	own.must("FETCH x", `COMPLETE stamp ["new"] / I`) // the replica lacks it, so the leader has the read
-	is.Equal(lastOf(w.second), "AFTERPOS 3.9 FETCH x")
-	is.Equal(lastOf(w.first), "FETCH x")
-	w.second.reach(9)
+	env := startEnvWithReadRoutes(t)
+	own := env.connectTo("own", "o")
+	own.expect("FETCH x", `COMPLETE stamp [""] / I`)
+	is.Equal(lastText(env.second), "AFTERPOS 3.2 FETCH x")
+	env.first.setPosition(9)
+	own.expect("PUT x new", "COMPLETE stamp / I")
+	own.expect("FETCH x", `COMPLETE stamp ["new"] / I`) // the replica lacks it, so the leader has the read
+	is.Equal(lastText(env.second), "AFTERPOS 3.9 FETCH x")
+	is.Equal(lastText(env.first), "FETCH x")
+	env.second.setPosition(9)
 	time.Sleep(100 * time.Millisecond) // longer than one that lagged is left alone
-	own.must("FETCH x", `COMPLETE stamp [""] / I`)
-	is.Equal(lastOf(w.second), "AFTERPOS 3.9 FETCH x")
-	another := w.connectTo("own", "p")
-	another.must("FETCH x", `COMPLETE stamp [""] / I`)
-	is.True(strings.HasPrefix(lastOf(w.second), "AFTERPOS 3.2")) // its own session has committed nothing
+	own.expect("FETCH x", `COMPLETE stamp [""] / I`)
+	is.Equal(lastText(env.second), "AFTERPOS 3.9 FETCH x")
+	another := env.connectTo("own", "p")
+	another.expect("FETCH x", `COMPLETE stamp [""] / I`)
+	is.True(strings.HasPrefix(lastText(env.second), "AFTERPOS 3.2")) // its own session has committed nothing
 }
 
 // Reads go on at a replica while the service is frozen, as long as a position is known that the leader had within their bound, and end then.
 func TestReadsGoOnWhileFrozen(t *testing.T) {
 	is := is.New(t)
-	w := startReading(t)
-	w.publishReads(3, func(service *feed.Service) { service.Frozen = true })
-	w.eventually("the table is applied", func() bool { return w.controller.applied(3) })
-	browse, own := w.connectTo("browse", "b"), w.connectTo("own", "o")
-	browse.must("FETCH x", `COMPLETE stamp [""] / I`)
-	is.Equal(len(w.first.asked()), 1)
-	w.eventually("its bound is over", func() bool { return browse.ask("FETCH x") == "ERROR BUSY / I" })
-	own.must("FETCH x", `COMPLETE stamp [""] / I`) // a longer one isn't
-	is.Equal(len(w.first.asked()), 1)
+	env := startEnvWithReadRoutes(t)
+	env.publishReadRoutes(3, func(service *feed.Service) { service.Frozen = true })
+	env.eventually("the table is applied", func() bool { return env.controller.hasApplied(3) })
+	browse, own := env.connectTo("browse", "b"), env.connectTo("own", "o")
+	browse.expect("FETCH x", `COMPLETE stamp [""] / I`)
+	is.Equal(len(env.first.clientStatements()), 1)
+	env.eventually("its bound is over", func() bool { return browse.ask("FETCH x") == "ERROR BUSY / I" })
+	own.expect("FETCH x", `COMPLETE stamp [""] / I`) // a longer one isn't
+	is.Equal(len(env.first.clientStatements()), 1)
 }
 
 func TestReplicaThatDrainsGetsNoReads(t *testing.T) {
 	is := is.New(t)
-	w := startReading(t)
-	w.publishReads(3, func(service *feed.Service) {
+	env := startEnvWithReadRoutes(t)
+	env.publishReadRoutes(3, func(service *feed.Service) {
 		service.Instances = slices.Clone(service.Instances)
 		service.Instances[1].Draining = true
 	})
-	w.eventually("the table is applied", func() bool { return w.controller.applied(3) })
-	w.connectTo("browse", "b").must("FETCH x", `COMPLETE stamp [""] / I`)
-	is.Equal(len(w.second.asked()), 0)
+	env.eventually("the table is applied", func() bool { return env.controller.hasApplied(3) })
+	env.connectTo("browse", "b").expect("FETCH x", `COMPLETE stamp [""] / I`)
+	is.Equal(len(env.second.clientStatements()), 0)
 }
 
 // A read whose answer a replica lost goes on to the leader: it keeps nothing.
 func TestReadGoesOnWhenAReplicaFails(t *testing.T) {
 	is := is.New(t)
-	w := startReading(t)
-	w.second.on(func(wire.Statement) mishap { return cutAfter })
-	browse := w.connectTo("browse", "b")
-	browse.must("FETCH x", `COMPLETE stamp [""] / I`)
-	is.Equal(lastOf(w.first), "FETCH x")
-	browse.must("FETCH y", `COMPLETE stamp [""] / I`)
-	is.Equal(lastOf(w.first), "FETCH y")
-	is.Equal(len(w.second.asked()), 1) // it is left alone for now
+	env := startEnvWithReadRoutes(t)
+	env.second.setIntercept(func(wire.Statement) fault { return cutAfter })
+	browse := env.connectTo("browse", "b")
+	browse.expect("FETCH x", `COMPLETE stamp [""] / I`)
+	is.Equal(lastText(env.first), "FETCH x")
+	browse.expect("FETCH y", `COMPLETE stamp [""] / I`)
+	is.Equal(lastText(env.first), "FETCH y")
+	is.Equal(len(env.second.clientStatements()), 1) // it is left alone for now
 }
 
 // The gateway must not take the position of an instance that isn't the lawful leader any more for one that covers what was acknowledged.
 func TestPositionOfALostLeadCoversNothing(t *testing.T) {
 	is := is.New(t)
-	w := startReading(t)
-	w.connectTo("browse", "b").must("FETCH x", `COMPLETE stamp [""] / I`)
+	env := startEnvWithReadRoutes(t)
+	env.connectTo("browse", "b").expect("FETCH x", `COMPLETE stamp [""] / I`)
 	held := make(chan struct{})
-	w.first.on(func(wire.Statement) mishap {
+	env.first.setIntercept(func(wire.Statement) fault {
 		<-held
-		return none
+		return noFault
 	})
-	shop := w.connectTo("shop", "s")
+	shop := env.connectTo("shop", "s")
 	shop.start("FETCH slow")
-	w.controller.set(func(c *standinController) { c.silent = true })
-	time.Sleep(leaseOfTests + 200*time.Millisecond)
-	w.controller.set(func(c *standinController) { c.silent = false })
+	env.controller.change(func(c *fakeController) { c.isSilent = true })
+	time.Sleep(testLease + 200*time.Millisecond)
+	env.controller.change(func(c *fakeController) { c.isSilent = false })
 	sequence := uint64(3)
-	w.eventually("the lease is held again", func() bool {
+	env.eventually("the lease is held again", func() bool {
 		sequence++
-		w.publishReads(sequence, func(*feed.Service) {})
-		return w.controller.applied(sequence - 1)
+		env.publishReadRoutes(sequence, func(*feed.Service) {})
+		return env.controller.hasApplied(sequence - 1)
 	})
 	time.Sleep(200 * time.Millisecond)
 	close(held)
 	_ = shop.answer()
-	w.second.reach(1)
-	w.connectTo("browse", "c").must("FETCH x", `COMPLETE stamp [""] / I`)
-	is.Equal(lastOf(w.first), "FETCH x") // asked anew: the position that came late counts for nothing, and the one before is too old or lacked
+	env.second.setPosition(1)
+	env.connectTo("browse", "c").expect("FETCH x", `COMPLETE stamp [""] / I`)
+	is.Equal(lastText(env.first), "FETCH x") // asked anew: the position that came late counts for nothing, and the one before is too old or lacked
 }
 
 // Price: a replica that was never asked, since a tenant's limit or a cut stopped the statement at the gateway, was taken for one that fails.
--- a/gateway/refusals.go
+++ b/gateway/refusals.go
@@ -8,16 +8,16 @@
 
 const (
 	// mostTenantsShown bounds the names among the figures.
-	mostTenantsShown = 10
+	maxTenantsShown = 10
 	// otherTenants stands for all tenants that aren't shown by name.
 	otherTenants = "(others)"
 )
 
 // refusals counts operations that a tenant's limit didn't allow, by tenant.
-type refusals map[string]uint64
+type refusalCounts map[string]uint64
 
 // keep forgets the names of tenants that have no limit any more.
-func (r refusals) keep(limited []string) {
+func (r refusalCounts) foldUnlimited(limited []string) {
 	known := make(map[string]bool, len(limited))
 	for _, tenant := range limited {
 		known[tenant] = true
@@ -31,7 +31,7 @@
 }
 
 // busiest gives the tenants with the most refusals, and the sum of all others.
-func (r refusals) busiest(most int) map[string]uint64 {
+func (r refusalCounts) top(most int) map[string]uint64 {
 	named := slices.DeleteFunc(slices.Collect(maps.Keys(r)), func(tenant string) bool { return tenant == otherTenants })
 	slices.SortFunc(named, func(a, b string) int { return cmp.Or(cmp.Compare(r[b], r[a]), cmp.Compare(a, b)) })
 	shown := map[string]uint64{otherTenants: r[otherTenants]}
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -8,122 +8,122 @@
 )
 
 // isPresent tells whether the replica of a placement is there by the table held, at the same address.
-func (d *directory) isPresent(placed placement) bool {
-	target := d.services[placed.route.TargetService]
+func (d *directory) hasReplica(placement placement) bool {
+	target := d.services[placement.route.TargetService]
 	if target == nil {
 		return false
 	}
 	return slices.ContainsFunc(target.Instances, func(instance feed.Instance) bool {
-		return instance.ID == placed.replica.ID && instance.Address == placed.replica.Address
+		return instance.ID == placement.replica.ID && instance.Address == placement.replica.Address
 	})
 }
 
 // mayBeginAt tells whether a read may be begun at the replica of a placement now: the last check before the bytes leave.
-func (d *directory) mayBeginAt(now time.Duration, placed placement) bool {
-	target := d.services[placed.route.TargetService]
-	if target == nil || !d.leased(now) {
+func (d *directory) mayBeginAtReplica(now time.Duration, placement placement) bool {
+	target := d.services[placement.route.TargetService]
+	if target == nil || !d.hasLease(now) {
 		return false
 	}
 	return slices.ContainsFunc(target.Instances, func(instance feed.Instance) bool {
-		return instance.ID == placed.replica.ID && instance.Address == placed.replica.Address && !instance.Draining
+		return instance.ID == placement.replica.ID && instance.Address == placement.replica.Address && !instance.Draining
 	})
 }
 
 // mayBegin tells whether a first statement may be sent now under a placement made before: the last check before the
 // bytes leave.
-func (d *directory) mayBegin(now time.Duration, placed placement) bool {
-	if !d.stillRouted(placed) {
+func (d *directory) mayBegin(now time.Duration, placement placement) bool {
+	if !d.stillRouted(placement) {
 		return false
 	}
-	if placed.atReplica() {
-		return d.mayBeginAt(now, placed)
+	if placement.atReplica() {
+		return d.mayBeginAtReplica(now, placement)
 	}
-	target := d.services[placed.route.TargetService]
-	return d.leads(placed) && !target.Frozen && d.leased(now) && d.mayUse(now, target)
+	target := d.services[placement.route.TargetService]
+	return d.isLeader(placement) && !target.Frozen && d.hasLease(now) && d.mayUseLeader(now, target)
 }
 
 // mayOpen tells whether the first read or write of a transaction that has begun may be sent now: what the transaction does is
 // begun with it.
-func (d *directory) mayOpen(now time.Duration, placed placement) bool {
-	if placed.atReplica() {
-		return d.mayBeginAt(now, placed)
+func (d *directory) mayOpen(now time.Duration, placement placement) bool {
+	if placement.atReplica() {
+		return d.mayBeginAtReplica(now, placement)
 	}
-	return d.leads(placed) && d.mayUse(now, d.services[placed.route.TargetService])
+	return d.isLeader(placement) && d.mayUseLeader(now, d.services[placement.route.TargetService])
 }
 
 // mayUse tells whether the leader of a service is there, and hasn't drained for too long.
-func (d *directory) mayUse(now time.Duration, target *service) bool {
-	return target.address != "" && d.drains.MayBegin(now, target.leading)
+func (d *directory) mayUseLeader(now time.Duration, target *service) bool {
+	return target.address != "" && d.drains.MayBegin(now, target.leaderInstance)
 }
 
 // begunLate is by how much a statement that was sent under the placement at the time given is too late for an instance that drains.
-func (d *directory) begunLate(sentAt time.Duration, placed placement) time.Duration {
-	if placed.atReplica() {
-		return d.drains.Passed(sentAt, d.instanceOf(placed))
+func (d *directory) lateness(sentAt time.Duration, placement placement) time.Duration {
+	if placement.atReplica() {
+		return d.drains.Passed(sentAt, d.currentReplica(placement))
 	}
-	if !d.leads(placed) {
+	if !d.isLeader(placement) {
 		return 0
 	}
-	return d.drains.Passed(sentAt, d.services[placed.route.TargetService].leading)
+	return d.drains.Passed(sentAt, d.services[placement.route.TargetService].leaderInstance)
 }
 
 // mayCommit tells whether a COMMIT may be sent now. While the service is frozen its open transactions may end: the
 // freeze isn't acknowledged before they have.
-func (d *directory) mayCommit(now time.Duration, placed placement) bool {
-	if placed.atReplica() {
-		return d.isPresent(placed) // it has read, and keeps nothing
+func (d *directory) mayCommit(now time.Duration, placement placement) bool {
+	if placement.atReplica() {
+		return d.hasReplica(placement) // it has read, and keeps nothing
 	}
-	return d.leads(placed) && d.leased(now)
+	return d.isLeader(placement) && d.hasLease(now)
 }
 
 // leads tells whether the instance of the placement leads its service by the table held.
-func (d *directory) leads(placed placement) bool {
-	target := d.services[placed.route.TargetService]
-	return target != nil && sameLeader(placed.leader, target.Leader)
+func (d *directory) isLeader(placement placement) bool {
+	target := d.services[placement.route.TargetService]
+	return target != nil && sameLeader(placement.leader, target.Leader)
 }
 
 // goesOn tells whether a transaction that has begun may go on where it is.
-func (d *directory) goesOn(placed placement) bool {
-	if placed.atReplica() {
-		return d.isPresent(placed)
+func (d *directory) mayContinue(placement placement) bool {
+	if placement.atReplica() {
+		return d.hasReplica(placement)
 	}
-	return d.leads(placed)
+	return d.isLeader(placement)
 }
 
 // instanceOf is the replica of a placement as the table has it now, or as it was.
-func (d *directory) instanceOf(placed placement) feed.Instance {
-	if target := d.services[placed.route.TargetService]; target != nil {
+func (d *directory) currentReplica(placement placement) feed.Instance {
+	if target := d.services[placement.route.TargetService]; target != nil {
 		for _, instance := range target.Instances {
-			if instance.ID == placed.replica.ID {
+			if instance.ID == placement.replica.ID {
 				return instance
 			}
 		}
 	}
-	return placed.replica
+	return placement.replica
 }
 
 // conflicts tells whether what is under way at the instance of the placement must end before the table held is
 // acknowledged: the service is frozen, or something else leads it.
-func (d *directory) conflicts(placed placement) bool {
-	if placed.atReplica() {
-		return !d.isPresent(placed)
+func (d *directory) conflicts(placement placement) bool {
+	if placement.atReplica() {
+		return !d.hasReplica(placement)
 	}
-	target := d.services[placed.route.TargetService]
-	return !d.leads(placed) || target.Frozen
+	target := d.services[placement.route.TargetService]
+	return !d.isLeader(placement) || target.Frozen
 }
 
 // lasted tells whether the right to use the leader has lasted without a break since the placement was checked: the
 // lease still holds, had not run out meanwhile, and the leader is the same. The service may have been frozen since:
 // nothing is promoted before this gateway acknowledges the freeze, and it does that when nothing is under way there.
-func (d *directory) lasted(now time.Duration, placed placement) bool {
-	if placed.atReplica() {
+func (d *directory) remainedValid(now time.Duration, placement placement) bool {
+	if placement.atReplica() {
 		return true // what it read is proven by the instance, whoever leads
 	}
-	return d.leads(placed) && d.leased(now) && d.lapses == placed.lapses
+	return d.isLeader(placement) && d.hasLease(now) && d.leaseLapses == placement.leaseLapses
 }
 
 // checked is the placement as of now: its right is counted from here on.
-func (d *directory) checked(placed placement) placement {
-	placed.lapses = d.lapses
-	return placed
+func (d *directory) renewed(placement placement) placement {
+	placement.leaseLapses = d.leaseLapses
+	return placement
 }
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -10,30 +10,30 @@
 	"eiderway/control/feed"
 )
 
-func (d *directory) takeTable(table feed.Table) (news, error) {
+func (d *directory) applyTable(table feed.Table) (tableChanges, error) {
 	if table.Version.Less(d.table.Version) {
-		return news{}, errOlderTable
+		return tableChanges{}, errOlderTable
 	}
 	if table.Version == d.table.Version {
-		return news{}, nil
+		return tableChanges{}, nil
 	}
 	table, err := table.On(d.table)
 	if err != nil {
-		d.wantsWhole = true
-		return news{}, err
+		d.needsFullTable = true
+		return tableChanges{}, err
 	}
-	changes := news{table: true}
-	contents, err := d.newerContents(table)
+	changes := tableChanges{hasNewTable: true}
+	contents, err := d.newerConfiguration(table)
 	if err != nil {
-		return news{}, err
+		return tableChanges{}, err
 	}
 	if contents != nil {
-		changes.configured = true
+		changes.hasNewConfiguration = true
 		changes.tenants = contents.Tenants
 		d.limits = contents.Limits
 		d.routes = routesByDatabase(contents.Routes)
 		d.access = access.NewTable(contents)
-		d.most = connectionsByService(contents.Services)
+		d.maxConnections = connectionsByService(contents.Services)
 	} else {
 		table.ConfigurationNumber = d.table.ConfigurationNumber
 		table.Configuration = d.table.Configuration
@@ -41,24 +41,24 @@
 	services := d.readServices(table)
 	changes.compare(d.services, services)
 	d.table = table
-	d.digest = feed.DigestOf(table.Services)
-	d.wantsWhole = false
+	d.servicesDigest = feed.DigestOf(table.Services)
+	d.needsFullTable = false
 	d.services = services
 	return changes, nil
 }
 
 // newerContents reads the table's configuration if it is newer than the one held; nil if it isn't. A lower number is
 // never taken over: a process doesn't go back within its life.
-func (d *directory) newerContents(table feed.Table) (*configuration.Contents, error) {
+func (d *directory) newerConfiguration(table feed.Table) (*configuration.Contents, error) {
 	if table.ConfigurationNumber <= d.table.ConfigurationNumber {
 		return nil, nil
 	}
 	if table.Configuration == nil {
-		return nil, errMissing
+		return nil, errNoConfiguration
 	}
 	order, err := configuration.Parse(table.Configuration)
 	if err != nil {
-		return nil, eris.Wrap(errConfiguration, err.Error())
+		return nil, eris.Wrap(errInvalidConfiguration, err.Error())
 	}
 	return &order.Contents, nil
 }
@@ -69,14 +69,14 @@
 	byDatabase := make(map[string]configuration.Route, len(routes))
 	for _, route := range routes {
 		present, taken := byDatabase[route.Host]
-		if !taken || comesBefore(route.PathPrefix, present.PathPrefix) {
+		if !taken || isPreferredPrefix(route.PathPrefix, present.PathPrefix) {
 			byDatabase[route.Host] = route
 		}
 	}
 	return byDatabase
 }
 
-func comesBefore(a, b string) bool {
+func isPreferredPrefix(a, b string) bool {
 	if len(a) != len(b) {
 		return len(a) < len(b)
 	}
@@ -86,22 +86,22 @@
 func (d *directory) readServices(table feed.Table) map[string]*service {
 	services := make(map[string]*service, len(table.Services))
 	for _, described := range table.Services {
-		entry := &service{Service: described, maxConnections: d.most[described.Name]}
+		service := &service{Service: described, maxConnections: d.maxConnections[described.Name]}
 		for _, instance := range described.Instances {
 			if instance.ID == described.Leader.InstanceID {
-				entry.address = instance.Address
-				entry.leading = instance
+				service.address = instance.Address
+				service.leaderInstance = instance
 			}
 		}
-		services[described.Name] = entry
+		services[described.Name] = service
 	}
 	return services
 }
 
 func connectionsByService(services []configuration.Service) map[string]int {
-	most := make(map[string]int, len(services))
+	maxConnections := make(map[string]int, len(services))
 	for _, configured := range services {
-		most[configured.Name] = configured.MaxConnections
+		maxConnections[configured.Name] = configured.MaxConnections
 	}
-	return most
+	return maxConnections
 }
--- a/gateway/terminate.go
+++ b/gateway/terminate.go
@@ -10,45 +10,45 @@
 
 const (
 	// leaving: it says that it isn't ready, and serves on.
-	leaving phase = iota + 1
+	unready phase = iota + 1
 	// closingIdle: sessions that rest outside a transaction are closed.
 	closingIdle
 	// endingTransactions: open transactions are rolled back.
 	endingTransactions
 	// ending: sessions are closed as soon as no statement is under way.
-	ending
+	closingAll
 )
 
 const (
 	// noticeTime is how long the platform may go on handing new connections to a gateway that isn't ready: it asks
 	// every second and needs two answers, and asks a little late at times. Until then sessions aren't closed, or they
 	// would come back.
-	noticeTime = 2300 * time.Millisecond
+	unreadyTime = 2300 * time.Millisecond
 	// endingPart is the part of the grace after which sessions are closed as soon as no statement is under way, and
 	// lastPart the part after which the process ends whatever is under way.
-	endingPart = 0.75
-	lastPart   = 0.9
+	closeAllPart = 0.75
+	stopPart     = 0.9
 	// emptyEvery is how often it is checked whether the last session has ended.
-	emptyEvery = 50 * time.Millisecond
+	sessionPollInterval = 50 * time.Millisecond
 )
 
 // at tells whether the gateway has come to the phase or beyond.
-func (g *Gateway) at(least phase) bool { return g.phase.Load() >= least }
+func (g *Gateway) hasReached(least phase) bool { return g.phase.Load() >= least }
 
 // terminate leads the gateway through its end, and returns when the last session has ended or the grace is almost over.
 func (g *Gateway) terminate(ctx context.Context) {
 	grace := g.grace()
-	begun := g.now()
-	g.phase.Store(leaving)
+	begun := g.elapsed()
+	g.phase.Store(unready)
 	g.log.Info("gateway ends")
-	notice := min(noticeTime, grace/2)
+	notice := min(unreadyTime, grace/2)
 	pause(ctx, notice)
-	g.enter(closingIdle)
-	g.untilEmpty(ctx, begun+grace/2)
-	g.enter(endingTransactions)
-	g.untilEmpty(ctx, begun+time.Duration(float64(grace)*endingPart))
-	g.enter(ending)
-	g.untilEmpty(ctx, begun+time.Duration(float64(grace)*lastPart))
+	g.enterPhase(closingIdle)
+	g.waitForSessions(ctx, begun+grace/2)
+	g.enterPhase(endingTransactions)
+	g.waitForSessions(ctx, begun+time.Duration(float64(grace)*closeAllPart))
+	g.enterPhase(closingAll)
+	g.waitForSessions(ctx, begun+time.Duration(float64(grace)*stopPart))
 }
 
 func (g *Gateway) grace() time.Duration {
@@ -58,46 +58,46 @@
 }
 
 // enter moves on to a phase and wakes the sessions that rest, so that they see it.
-func (g *Gateway) enter(next phase) {
+func (g *Gateway) enterPhase(next phase) {
 	g.phase.Store(next)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for resting := range g.clients {
-		resting.rouse()
+		resting.interruptWait()
 	}
 }
 
 // longAgo as a deadline ends a read that waits.
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // untilEmpty waits until there is no client or the time has come.
-func (g *Gateway) untilEmpty(ctx context.Context, until time.Duration) {
-	for g.now() < until && ctx.Err() == nil && g.sessions() > 0 {
-		pause(ctx, min(emptyEvery, until-g.now()))
+func (g *Gateway) waitForSessions(ctx context.Context, until time.Duration) {
+	for g.elapsed() < until && ctx.Err() == nil && g.sessionCount() > 0 {
+		pause(ctx, min(sessionPollInterval, until-g.elapsed()))
 	}
 }
 
-func (g *Gateway) sessions() int {
+func (g *Gateway) sessionCount() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return len(g.clients)
 }
 
 // lastWait bounds the wait for sessions whose connections are closed.
-const lastWait = 300 * time.Millisecond
+const finalWait = 300 * time.Millisecond
 
 // cutClients closes what is left: the lease is given up, so that nothing more is started and no success is passed on,
 // and then the connections of clients and of what is under way at instances are closed.
-func (g *Gateway) cutClients() {
-	g.phase.Store(ending)
+func (g *Gateway) closeClients() {
+	g.phase.Store(closingAll)
 	g.mutex.Lock()
 	g.directory.leaseUntil = 0
 	g.mutex.Unlock()
 	g.cutFlights(func(*flight) bool { return true })
 	g.mutex.Lock()
 	for left := range g.clients {
-		_ = left.network.Close()
+		_ = left.conn.Close()
 	}
 	g.mutex.Unlock()
-	g.untilEmpty(context.Background(), g.now()+lastWait)
+	g.waitForSessions(context.Background(), g.elapsed()+finalWait)
 }
--- a/gateway/feed_test.go
+++ b/gateway/watch_test.go
@@ -12,7 +12,7 @@
 func TestStandstillIsNotTakenForASilentController(t *testing.T) {
 	is := is.New(t)
 	allowed := watchWait + watchSlack
-	is.True(!stoodStill(allowed, allowed))
-	is.True(!stoodStill(allowed+100*time.Millisecond, allowed))
-	is.True(stoodStill(allowed+4*time.Second, allowed))
+	is.True(!processStoodStill(allowed, allowed))
+	is.True(!processStoodStill(allowed+100*time.Millisecond, allowed))
+	is.True(processStoodStill(allowed+4*time.Second, allowed))
 }
