--- a/gateway/access.go
+++ b/gateway/access.go
@@ -6,7 +6,7 @@
 	"eiderway/control/access"
 )
 
-// rejects tells whether it is known that the database takes no client with this key.
+// rejectsKey reports whether it is known that the database doesn't admit a client with this key.
 func (d *directory) rejectsKey(now time.Duration, database string, key access.Key) bool {
 	route, known := d.routes[database]
 	if !known || !d.hasLease(now) {
@@ -16,14 +16,15 @@
 	return !admitted
 }
 
-// stillRouted tells whether the database's route leads where it led when a placement was made, and asks for a key if it did then.
+// stillRouted reports whether the database's route still leads where it led when the placement was made, and still
+// requires a key or not.
 func (d *directory) stillRouted(placement placement) bool {
 	route, known := d.routes[placement.route.Host]
 	return known && route.TargetService == placement.route.TargetService &&
 		route.Class == placement.route.Class && route.NoAuth == placement.route.NoAuth
 }
 
-// stillAdmits tells whether the key under which a placement was made is still good, as far as can be known.
+// stillAdmits reports whether the key under which a placement was made is still valid, as far as the gateway can know.
 func (d *directory) stillAdmits(now time.Duration, placement placement) bool {
 	return d.access.StillAdmits(access.Grant{Route: placement.route, Key: placement.key, Tenant: placement.tenant}, d.keys, now)
 }
--- a/gateway/backends.go
+++ b/gateway/backends.go
@@ -6,30 +6,30 @@
 	"eiderway/system/metrics"
 )
 
-// dialReason says why a connection to an instance was made rather than one used again.
+// dialReason is why a connection to an instance was made instead of reusing one.
 type dialReason int
 
 const (
 	firstOfTenant   dialReason = iota // the tenant had none at the instance
-	allInUse                          // all that it had were lent
-	afterEviction                     // its last one gave way to another tenant's, or to the instance's limit
+	allInUse                          // all of the tenant's connections were lent
+	afterEviction                     // its last one was closed to make room, for another tenant or at the instance's limit
 	afterExpired                      // its last one had been unused for too long
-	afterBroken                       // its last one was closed with a statement or transaction, or by the instance
-	dialReasonCount                   // how many there are
+	afterBroken                       // its last one broke, was given up with a statement or transaction, or was closed by the instance
+	dialReasonCount                   // the number of reasons
 )
 
-// dialReasonNames are those of the figures.
+// dialReasonNames are the reasons as the metrics name them.
 var dialReasonNames = [dialReasonCount]string{"first", "others_lent", "gave_way", "expired", "broken"}
 
-// backendCounts counts connections to instances, over all pools and since the start.
+// backendCounts counts the connections to instances over all pools since the start.
 type backendCounts struct {
 	made    [dialReasonCount]atomic.Uint64
 	limited atomic.Uint64 // refused with CONNLIMIT
-	refused atomic.Uint64 // refused otherwise
+	refused atomic.Uint64 // refused for another reason
 	failed  atomic.Uint64 // not answered
 }
 
-// total is how many were made.
+// total returns how many connections were made.
 func (c *backendCounts) total() uint64 {
 	var total uint64
 	for reason := range c.made {
@@ -38,7 +38,7 @@
 	return total
 }
 
-// figures are those of connections to instances.
+// figures returns the metrics of connections to instances.
 func (c *backendCounts) figures() []metrics.Figure {
 	var figures []metrics.Figure
 	for reason, name := range dialReasonNames {
--- a/gateway/client.go
+++ b/gateway/client.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// greetTime is how long a new connection may take to send its CONNECT.
+	// connectTimeout is how long a new connection may take to send its CONNECT.
 	connectTimeout = 10 * time.Second
-	// messageTime is how long a client may take for one message once its first byte has come: a mebibyte over a slow
+	// messageTimeout is how long a client may take for one message once its first byte has come. A mebibyte over a slow
 	// link takes some seconds.
 	messageTimeout = 20 * time.Second
-	// writeTime is how long a client may leave its answers unread.
+	// writeTimeout is how long a client may leave its answers unread.
 	writeTimeout = 10 * time.Second
-	// keptAnswer is the largest buffer in bytes that is kept between answers.
+	// maxKeptBuffer is the largest buffer, in bytes, that is kept between answers.
 	maxKeptBuffer = 4096
-	// acceptPause is the pause after a connection could not be accepted, which is for want of descriptors or memory.
+	// acceptPause is the pause after a connection could not be accepted, usually for lack of descriptors or memory.
 	acceptPause = 50 * time.Millisecond
 )
 
-// client is one client's connection.
+// client is the connection of one client.
 type client struct {
 	gateway       *Gateway
 	conn          net.Conn
@@ -36,17 +36,17 @@
 	database      string
 	key           access.Key
 	session       *session.Session
-	liveness      *liveness         // in connections that the session has used
-	flight        *flight           // of the open transaction
+	liveness      *liveness         // tells the pools whether the session is still open
+	flight        *flight           // the open transaction; nil if there is none
 	hasBeenServed bool              // a statement has been answered
-	chargedTenant string            // the tenant for whom the operation was counted, and which hasn't been sent to an instance; "": none
+	chargedTenant string            // the tenant charged for the current operation while no instance has run it; "": none
 	lastCommit    failover.Position // of the leader when it last acknowledged a commit of this session
 
 	mutex     sync.Mutex
 	isWaiting bool // for the first byte of a message
 }
 
-// accept takes clients until the listener is closed.
+// accept admits clients until the listener is closed.
 func (g *Gateway) accept(front net.Listener) {
 	for {
 		conn, err := front.Accept()
@@ -54,7 +54,7 @@
 			return
 		}
 		if err != nil {
-			g.log.WithError(err).Warn("accept")
+			g.log.WithError(err).Warn("accepting a client connection failed")
 			time.Sleep(acceptPause)
 			continue
 		}
@@ -62,13 +62,13 @@
 	}
 }
 
-// welcome starts a client's session, if there is room for it.
+// admit starts a client's session, or refuses the client if there are too many or the gateway is about to stop.
 func (g *Gateway) admit(conn net.Conn) {
 	client := &client{gateway: g, conn: conn, session: session.New(), liveness: &liveness{}}
 	client.reader = wire.NewReader(conn).WithBudget(g.messageBudget)
 	g.mutex.Lock()
-	full := len(g.clients) >= g.maxClients()
-	if !full && !g.hasReached(closingAll) {
+	isFull := len(g.clients) >= g.maxClients()
+	if !isFull && !g.hasReached(closingAll) {
 		g.clients[client] = struct{}{}
 		g.mutex.Unlock()
 		go client.serve()
@@ -80,15 +80,15 @@
 	_ = conn.Close()
 }
 
-// Descriptors of which a gateway needs some beside its clients': those that the platform keeps for files, and its own
-// for instances, controllers and the platform.
+// A gateway needs descriptors besides those of its clients: the ones that the platform keeps for files, and its own for
+// instances, controllers and the platform.
 const (
 	reservedDescriptors = 400
 	minClients          = 100
 	defaultMaxClients   = 10000
 )
 
-// mostClients is how many clients there may be.
+// maxClients returns how many clients may be connected.
 func (g *Gateway) maxClients() int {
 	descriptors := g.settings.Limits.MaxFds
 	if descriptors <= 0 {
@@ -97,7 +97,7 @@
 	return max(minClients, descriptors-reservedDescriptors)
 }
 
-// attend serves the client until its connection ends.
+// serve answers the client's messages until its connection ends.
 func (c *client) serve() {
 	defer c.close()
 	if !c.handshake() {
@@ -116,10 +116,11 @@
 	}
 }
 
-// endsSession tells whether the session is over with this answer: a client whose key isn't known would be refused at CONNECT, too.
+// endsSession reports whether the session is over after this answer. A client whose key isn't known would be refused at
+// CONNECT, too.
 func endsSession(answer wire.Answer) bool { return answer.Code == wire.AuthFail }
 
-// greet takes the CONNECT.
+// handshake answers the CONNECT and reports whether the session may begin.
 func (c *client) handshake() bool {
 	_ = c.conn.SetReadDeadline(time.Now().Add(connectTimeout))
 	line, err := c.reader.ReadLine()
@@ -159,17 +160,17 @@
 	return g.directory.rejectsKey(g.elapsed(), database, key)
 }
 
-// explain tells the client why its connection ends, where that is its own doing.
+// reportReadError tells the client why its connection ends, if the client caused the error.
 func (c *client) reportReadError(err error) {
 	if errors.Is(err, wire.ErrTooLong) || errors.Is(err, wire.ErrMalformed) {
 		c.write(wire.AppendError(c.buffer[:0], wire.Malformed, ""))
 	}
 }
 
-// errLeave ends a session that is closed by the gateway.
-var errSessionClosed = errors.New("the gateway ends the session")
+// errSessionClosed ends a session that the gateway closes.
+var errSessionClosed = errors.New("the gateway closed the session")
 
-// next waits for the client's next message.
+// readMessage waits for the client's next message.
 func (c *client) readMessage() (string, error) {
 	for {
 		if err := c.waitForMessage(); err == nil {
@@ -182,11 +183,11 @@
 	return c.reader.ReadLine()
 }
 
-// waitForMessage waits for the first byte of a message. It returns os.ErrDeadlineExceeded after it has done what a rest
-// that lasted too long, or the end of the gateway, asks for.
+// waitForMessage waits for the first byte of a message. It returns os.ErrDeadlineExceeded when the wait was
+// interrupted; by then it has rolled back a transaction that was idle for too long or that the shutdown ends.
 func (c *client) waitForMessage() error {
 	idleUntil := c.idleDeadline()
-	// The phase is looked at after the wait is announced: whoever changes it rouses those who wait.
+	// The phase is read after the wait is announced, since a change of the phase interrupts only those that wait.
 	c.startWaiting(idleUntil)
 	defer c.stopWaiting()
 	if c.reader.Buffered() == 0 && c.mustClose() {
@@ -204,7 +205,7 @@
 	return err
 }
 
-// endRest rolls back the transaction that rests.
+// endIdleTransaction rolls back a transaction that waits for its client.
 func (c *client) endIdleTransaction() {
 	c.session.RolledBack()
 	c.rollBackTransaction()
@@ -224,7 +225,8 @@
 	c.isWaiting = false
 }
 
-// rouse makes a session that waits for its client look at the phase. A message that is being read is left alone.
+// interruptWait makes a session that waits for its client check the phase. It leaves a message that is being read
+// alone.
 func (c *client) interruptWait() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -233,7 +235,8 @@
 	}
 }
 
-// restTime is until when the session may rest: for ever, or as long as transactions may.
+// idleDeadline returns until when the session may wait for its client. The zero time means without limit; only sessions
+// inside a transaction have one.
 func (c *client) idleDeadline() time.Time {
 	if c.flight == nil {
 		return time.Time{}
@@ -251,8 +254,8 @@
 	return time.Duration(g.directory.limits.TxnIdleMs) * time.Millisecond
 }
 
-// mustLeave tells whether the gateway closes the session now, while nothing is asked. A new one may ask once: its
-// first statement may be on its way.
+// mustClose reports whether the gateway closes the session now, while it waits for its client. A new session may still
+// send one statement, since that may be on its way.
 func (c *client) mustClose() bool {
 	if c.session.State() == wire.Idle && c.hasBeenServed {
 		return c.gateway.hasReached(closingIdle) || c.gateway.isCutOff()
@@ -260,7 +263,7 @@
 	return c.gateway.hasReached(closingAll)
 }
 
-// take answers one message; goOn is false after a QUIT.
+// handle answers one message; isOpen is false after a QUIT.
 func (c *client) handle(line string, err error) (answer wire.Answer, isOpen bool) {
 	var request wire.Request
 	if err == nil {
@@ -288,7 +291,7 @@
 	return decision.Answer
 }
 
-// write sends bytes to the client, and tells whether they have left.
+// write sends bytes to the client and reports whether they were sent.
 func (c *client) write(bytes []byte) bool {
 	if cap(bytes) <= maxKeptBuffer {
 		c.buffer = bytes
@@ -298,7 +301,7 @@
 	return err == nil
 }
 
-// end closes the connection, and rolls back a transaction that was left open.
+// close closes the connection and rolls back a transaction that was left open.
 func (c *client) close() {
 	c.liveness.end()
 	c.rollBackTransaction()
--- a/gateway/counters.go
+++ b/gateway/counters.go
@@ -13,7 +13,7 @@
 	"eiderway/wire"
 )
 
-// counters count what clients were told since the start.
+// counters counts the answers to clients and related events since the start.
 type counters struct {
 	completed   atomic.Uint64
 	busy        atomic.Uint64
@@ -23,24 +23,24 @@
 	malformed   atomic.Uint64
 	noDatabase  atomic.Uint64
 	keyRejected atomic.Uint64
-	overLimit   atomic.Uint64 // operations that their tenants' limits didn't allow
+	overLimit   atomic.Uint64 // operations refused by their tenants' limits
 
-	operationRequests       atomic.Uint64 // for operations of tenants
-	failedOperationRequests atomic.Uint64 // of those: not answered
+	operationRequests       atomic.Uint64 // requests to the primary for operations of tenants
+	failedOperationRequests atomic.Uint64 // those without an answer
 
 	otherError       atomic.Uint64
-	idleTransactions atomic.Uint64 // transactions that rested for too long
+	idleTransactions atomic.Uint64 // transactions ended because they were idle for too long
 
 	replicaReads atomic.Uint64 // reads that replicas ran
-	lagging      atomic.Uint64 // reads that a replica was too far behind for
+	lagging      atomic.Uint64 // reads for which a replica was too far behind
 
-	brokenInvariants atomic.Uint64 // invariants
+	brokenInvariants atomic.Uint64
 
-	isLeaseLossLogged bool   // belongs to the gateway's lock: a line has been written
-	lastLogged        totals // belongs to the loop that prints
+	isLeaseLossLogged bool   // a line has been logged; guarded by the gateway's lock
+	lastLogged        totals // used only by the goroutine that logs
 }
 
-// totals is what is printed.
+// totals are the values that are logged.
 type totals struct {
 	completed, busy, rolledBack, inDoubt, timedOut, malformed, noDatabase, keyRejected, overLimit, otherError, idleTransactions uint64
 	replicaReads, lagging                                                                                                       uint64
@@ -89,7 +89,7 @@
 	}
 }
 
-// printCounters writes one line if anything was counted since the last.
+// logCounters logs one line if anything was counted since the last one.
 func (g *Gateway) logCounters() {
 	totals := g.counters.totals()
 	if totals == g.counters.lastLogged {
@@ -105,15 +105,15 @@
 	}).Info("counters")
 }
 
-// reports gathers for the controller what was met at instances.
+// instanceReports collects what the gateway observed at instances, for the controller.
 type instanceReports struct {
-	urgent chan struct{} // takes a word when a connection has broken or could not be made; holds one
+	urgent chan struct{} // signals that a connection broke or could not be made; holds one signal
 
 	mutex      sync.Mutex
 	byInstance map[string]*feed.InstanceReport
 }
 
-// entry is called with the lock held.
+// entry returns the report on the instance, which it creates if necessary. The caller holds the lock.
 func (r *instanceReports) entry(instanceID string) *feed.InstanceReport {
 	if r.byInstance == nil {
 		r.byInstance = map[string]*feed.InstanceReport{}
@@ -126,8 +126,8 @@
 	return report
 }
 
-// failed counts a connection that could not be made or broke. The controller should hear of it at once: it may be the
-// first sign that a leader is gone.
+// failed counts a connection that could not be made or broke. The controller should hear of it at once, since it may be
+// the first sign that a leader is gone.
 func (r *instanceReports) failed(instanceID string) {
 	r.mutex.Lock()
 	r.entry(instanceID).Failures++
@@ -142,7 +142,7 @@
 	}
 }
 
-// answered counts what came of a statement.
+// answered counts the outcome of a statement.
 func (r *instanceReports) answered(instanceID string, outcome session.Outcome) {
 	if outcome.Kind == session.Lost {
 		r.failed(instanceID)
@@ -161,7 +161,7 @@
 	}
 }
 
-// take hands out what was gathered, and begins anew.
+// take returns the collected reports and starts anew.
 func (r *instanceReports) take() []feed.InstanceReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -178,7 +178,7 @@
 	return taken
 }
 
-// putBack adds what was handed out and didn't arrive.
+// putBack adds reports that were taken but didn't reach the controller.
 func (r *instanceReports) putBack(taken []feed.InstanceReport) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -190,7 +190,7 @@
 	}
 }
 
-// backendsOpen is how many connections to instances there are, with those that are being made.
+// openBackends returns the number of connections to instances, including those that are being made.
 func (g *Gateway) openBackends() int {
 	open := 0
 	for _, pool := range g.allPools() {
--- a/gateway/directory.go
+++ b/gateway/directory.go
@@ -10,18 +10,18 @@
 	"eiderway/control/feed"
 )
 
-// directory is what the gateway works by: the newest table that it has taken over, the configuration in it, and the
-// lease. It decides where a statement may go and whether an answer may still be passed on. It does no I/O and knows
-// no clock: now is the steady time.
+// directory holds the state that placements depend on: the newest table that the gateway has applied, the configuration
+// in it, and the lease. It decides where a statement may go and whether an answer may still be passed on. It does no
+// I/O and has no clock: now is the monotonic time since the start.
 type directory struct {
 	table          feed.Table
-	servicesDigest uint64 // of its services
-	needsFullTable bool   // changes that came don't follow on the table held
+	servicesDigest uint64 // digest of the table's services
+	needsFullTable bool   // the last changes received don't follow on the current table
 	limits         configuration.Limits
 	routes         map[string]configuration.Route // by database name
 	services       map[string]*service
-	maxConnections map[string]int // connections that the configuration allows at an instance, by service
-	leaseLength    time.Duration  // the length of the newest one
+	maxConnections map[string]int // per instance by the configuration, by service
+	leaseLength    time.Duration  // of the newest lease
 	leaseUntil     time.Duration
 	leaseLapses    uint64 // how often the lease had run out when it was renewed
 	drains         *feed.DrainDeadlines
@@ -35,13 +35,13 @@
 	feed.Service
 	maxConnections int
 	address        string        // of the leader; "" if it isn't among the instances
-	leaderInstance feed.Instance // with an address
+	leaderInstance feed.Instance // the zero value if it isn't among the instances
 }
 
 var (
-	errOlderTable           = eris.New("a table older than the one held")
-	errNoConfiguration      = eris.New("a table without a configuration that isn't held")
-	errInvalidConfiguration = eris.New("a configuration that can't be read")
+	errOlderTable           = eris.New("the table is older than the current one")
+	errNoConfiguration      = eris.New("the table lacks its configuration, which is newer than the current one")
+	errInvalidConfiguration = eris.New("the configuration in the table is invalid")
 )
 
 func newDirectory() *directory {
@@ -52,7 +52,8 @@
 	}
 }
 
-// applied is the version that the controllers are told: what they send is what has changed since.
+// applied returns the version that the gateway reports to the controllers, which send what has changed since. The zero
+// version asks for the full table.
 func (d *directory) applied() feed.Version {
 	if d.needsFullTable {
 		return feed.Version{}
@@ -60,7 +61,8 @@
 	return d.table.Version
 }
 
-// take takes over an answer to a question that was sent at sentAt. After an error nothing has changed.
+// apply takes over the answer to a request that was sent at sentAt. If it returns an error, nothing has changed except
+// perhaps that a full table is needed.
 func (d *directory) apply(now, sentAt time.Duration, answer feed.WatchAnswer) (tableChanges, error) {
 	var changes tableChanges
 	if answer.Table != nil {
@@ -76,8 +78,8 @@
 	return changes, nil
 }
 
-// renew takes over a lease. The controller counts a lease from its own answer at the latest, so time that passed
-// between the end of the old one and now isn't covered, even if the new one reaches back there.
+// renewLease takes over a lease. The controller counts a lease from its own answer at the latest, so the time between
+// the end of the old lease and now isn't covered, even if the new one reaches back there.
 func (d *directory) renewLease(now, sentAt, lease time.Duration) {
 	d.leaseLength = lease
 	until := sentAt + lease
@@ -90,5 +92,5 @@
 	d.leaseUntil = until
 }
 
-// leased tells whether the lease holds.
+// hasLease reports whether the lease holds.
 func (d *directory) hasLease(now time.Duration) bool { return now < d.leaseUntil }
--- a/gateway/directory_test.go
+++ b/gateway/directory_test.go
@@ -107,7 +107,7 @@
 	is.True(directory.hasLease(4 * time.Second))
 	is.True(!directory.remainedValid(4*time.Second, placement))
 	is.True(directory.mayCommit(4*time.Second, placement)) // the same leader: its transaction may still be committed
-	is.True(directory.remainedValid(4*time.Second, directory.renewed(placement)))
+	is.True(directory.remainedValid(4*time.Second, directory.withCurrentLease(placement)))
 }
 
 func TestFreezeRefusesFirstStatementsAndLetsTransactionsEnd(t *testing.T) {
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	// patienceShare is the part of a route's aim that a statement may wait to be offered to an instance. A refusal after
-	// more than a quarter of the aim comes late by the rules; timers fire a little late, so it is a fifth.
+	// placementWaitShare is the divisor that gives the part of a route's target latency that a statement may wait to be
+	// offered to an instance. A refusal after more than a quarter of the target latency is too late; timers fire a
+	// little late, so the wait is a fifth.
 	placementWaitShare = 5
-	// patienceLeast is the wait where the route isn't known or has no aim.
+	// minPlacementWait is the wait where the route isn't known or has no target latency.
 	minPlacementWait = 20 * time.Millisecond
-	// anewShare is the part of the patience after which an instance that was busy is tried again.
+	// retryWaitShare is the divisor that gives the part of the placement wait after which an instance that was busy is
+	// tried again.
 	retryWaitShare = 4
-	// defaultTimeout bounds a statement where the route says nothing; a valid configuration always does.
+	// defaultStatementTimeout bounds a statement where the route has no timeout; a valid configuration always has one.
 	defaultStatementTimeout = 2 * time.Second
 )
 
-// serve answers one QUERY.
+// runQuery answers one QUERY.
 func (c *client) runQuery(id, text string) wire.Answer {
 	c.handleCutTransaction()
 	decision := c.session.Take(text)
@@ -37,8 +39,8 @@
 	return c.serveInTransaction(id, decision.Statement)
 }
 
-// serveFirst runs a statement that stands outside a transaction or begins one: at a replica, if it may be some time old and one has it
-// in time, else at the leader.
+// serveFirst runs a statement that is outside a transaction or begins one. It goes to a replica if it tolerates stale
+// data and a replica can serve it in time, else to the leader.
 func (c *client) serveFirst(id string, statement session.Statement) wire.Answer {
 	receivedAt := c.gateway.elapsed()
 	c.chargedTenant = ""
@@ -53,8 +55,8 @@
 	return c.serveAtLeader(id, statement, receivedAt)
 }
 
-// serveAtReplica offers a read to replicas, and tells whether one of them had the last word on it. What was not run, or kept nothing, goes on to the
-// next.
+// serveAtReplica offers a read to replicas and reports whether one of them gave the final answer. A read that was not
+// run, or that kept nothing, is offered to the next one.
 func (c *client) serveAtReplica(id string, statement session.Statement, receivedAt time.Duration) (wire.Answer, bool) {
 	var tried []string
 	for len(tried) < maxReplicaTries {
@@ -75,11 +77,11 @@
 	return wire.Answer{}, false
 }
 
-// overLimit is what a client is told whose tenant has used its limit up.
+// overLimit is what a client is told whose tenant has used up its limit.
 const overLimit = "the limit of operations is used up: try again in a second"
 
-// mayRunElsewhere tells whether a read that a replica was offered can be offered to another instance: it was not run, or its answer was lost, and it
-// keeps nothing.
+// mayRunElsewhere reports whether a read that was offered to a replica can be offered to another instance: it was not
+// run, or its answer was lost, and it keeps nothing.
 func mayRunElsewhere(outcome session.Outcome) bool {
 	if outcome.Kind != session.Answered {
 		return outcome.Kind != session.TimedOut
@@ -87,7 +89,8 @@
 	return outcome.Answer.Code.Promise() && outcome.Answer.State == wire.Idle
 }
 
-// serveAtLeader runs a statement at the leader. If it was not run, it is tried again on another connection as long as its patience lasts.
+// serveAtLeader runs a statement at the leader. If it was not run, it is tried again on another connection while the
+// placement wait lasts.
 func (c *client) serveAtLeader(id string, statement session.Statement, receivedAt time.Duration) wire.Answer {
 	for attempt := 1; ; attempt++ {
 		flight, reason := c.gateway.startAtLeader(c.database, c.key, receivedAt)
@@ -115,7 +118,7 @@
 	}
 }
 
-// worthAnother tells whether a first statement has not been run and may be tried on another connection.
+// isRetryable reports whether a first statement has not been run and may be tried on another connection.
 func isRetryable(outcome session.Outcome) bool {
 	if outcome.Kind == session.Answered {
 		return outcome.Answer.Code == wire.Busy && outcome.Answer.State == wire.Idle
@@ -123,8 +126,8 @@
 	return outcome.Kind == session.NotRun
 }
 
-// depart finds the leader for a first statement, and registers the flight in the same moment. Where a statement can't
-// be placed now but perhaps soon, it waits as long as its patience lasts.
+// startAtLeader finds the leader for a first statement and registers the flight under the same lock. If the statement
+// can't be placed now but perhaps soon, it waits for a change of the directory within the placement wait.
 func (g *Gateway) startAtLeader(database string, key access.Key, receivedAt time.Duration) (*flight, refusal) {
 	for {
 		g.mutex.Lock()
@@ -150,7 +153,7 @@
 	}
 }
 
-// patienceOf is how long a statement may wait to be offered.
+// maxPlacementWait returns how long a statement may wait to be offered to an instance.
 func maxPlacementWait(placement placement) time.Duration {
 	targetLatency := time.Duration(placement.route.TargetLatencyMs) * time.Millisecond
 	return max(minPlacementWait, targetLatency/placementWaitShare)
@@ -163,7 +166,7 @@
 	return time.Duration(placement.route.TimeoutMs) * time.Millisecond
 }
 
-// runFirst gets a connection and runs the statement on it.
+// runFirst acquires a connection and runs the statement on it.
 func (c *client) runFirst(id string, statement session.Statement, flight *flight, receivedAt time.Duration) session.Outcome {
 	until := receivedAt + maxPlacementWait(flight.placement)
 	if !c.charge(flight.placement.tenant, until) {
@@ -186,7 +189,8 @@
 	return outcome
 }
 
-// wasNotRun tells whether an attempt certainly wasn't run, so that the next one counts for the same operation. To keep nothing is not enough.
+// wasNotRun reports whether an attempt was certainly not run, so that the next one counts as the same operation. It is
+// not enough that the attempt kept nothing.
 func wasNotRun(outcome session.Outcome) bool {
 	if outcome.Kind != session.Answered {
 		return outcome.Kind == session.NotRun
@@ -198,7 +202,7 @@
 	return false
 }
 
-// serveInside runs a statement of the open transaction.
+// serveInTransaction runs a statement of the open transaction.
 func (c *client) serveInTransaction(id string, statement session.Statement) wire.Answer {
 	flight := c.flight
 	outcome := notRun("the transaction was ended")
@@ -212,7 +216,8 @@
 	return verdict.Answer
 }
 
-// noteWritten remembers the position that a commit of this session has reached: its reads must see it.
+// recordCommit remembers the position that a commit of this session has reached, which later reads of the session must
+// see.
 func (c *client) recordCommit(statement session.Statement, answer wire.Answer) {
 	commits := statement.Class == session.Write || statement.Class == session.Commit
 	if !commits || answer.Code != "" || answer.State != wire.Idle {
@@ -223,7 +228,7 @@
 	}
 }
 
-// run puts the connection in order and runs the statement on it.
+// run brings the connection into the state that the session needs and runs the statement on it.
 func (c *client) run(id string, statement session.Statement, flight *flight, deadline time.Time) session.Outcome {
 	backend := flight.backend
 	inTransaction := c.session.Attached()
@@ -268,7 +273,8 @@
 	return outcome
 }
 
-// textFor is the text as it is sent: a read or BEGIN at a replica names the position that the replica's log must hold.
+// backendText returns the text that is sent to the instance. A read or BEGIN at a replica names the position that the
+// replica's log must hold.
 func backendText(statement session.Statement, flight *flight, isFirst bool) string {
 	text := statement.BackendText()
 	if isFirst && flight.placement.atReplica() {
@@ -277,19 +283,20 @@
 	return text
 }
 
-// leaderFailed reports a connection that broke, if it was one to the leader.
+// reportLeaderFailure reports to the controller that a connection broke, if it was one to the leader.
 func (g *Gateway) reportLeaderFailure(flight *flight) {
 	if !flight.placement.atReplica() {
 		g.reports.failed(flight.placement.leader.InstanceID)
 	}
 }
 
-// notSentNow: the right to use the leader is gone; nothing has been sent.
+// leaderUnusable is the outcome of a statement that was not sent because the right to use the leader is gone.
 func leaderUnusable() session.Outcome {
 	return session.Outcome{Kind: session.NotRun, Reason: "the leader may not be used now", Intact: true}
 }
 
-// stepRefused: one of the system's own statements was refused, so the client's was not sent.
+// stepRefused is the outcome of a statement that was not sent because the instance refused a statement that prepares
+// the connection.
 func stepRefused(answer wire.Answer, inTransaction bool) session.Outcome {
 	expected := wire.Idle
 	if inTransaction {
@@ -298,7 +305,7 @@
 	return session.Outcome{Kind: session.NotRun, Reason: string(answer.Code), Intact: answer.State == expected}
 }
 
-// may is the last check before the statement's bytes leave.
+// maySend is the last check before the bytes of the statement are sent.
 func (c *client) maySend(statement session.Statement, flight *flight) bool {
 	switch {
 	case statement.Class == session.Abort:
@@ -313,7 +320,7 @@
 	return c.gateway.mayBegin(flight)
 }
 
-// outcomeOf reads what came of a statement that was sent.
+// outcomeOf translates the result of a statement that was sent.
 func outcomeOf(answer wire.Answer, err error) session.Outcome {
 	if err == nil {
 		return session.Outcome{Kind: session.Answered, Answer: answer}
@@ -332,8 +339,8 @@
 	return session.Outcome{Kind: session.NotRun, Reason: reason}
 }
 
-// settle carries out what becomes of the backend connection. It happens before the client is answered: a freeze must
-// find no flight whose client has its answer, and the client's next statement finds the connection again.
+// settle does with the backend connection what the verdict says. It runs before the client is answered: a freeze must
+// not find a flight whose client has its answer, and the client's next statement must find the connection again.
 func (c *client) settle(flight *flight, verdict session.Verdict) {
 	backend := flight.backend
 	if verdict.Fate == session.Keep {
@@ -358,7 +365,8 @@
 	}
 }
 
-// dropTransaction rolls the open transaction back, because the session has failed, has rested for too long or has ended.
+// rollBackTransaction rolls back the open transaction because the session has failed, was idle for too long or has
+// ended.
 func (c *client) rollBackTransaction() {
 	flight := c.flight
 	if flight == nil {
@@ -371,16 +379,16 @@
 	c.settle(flight, session.Verdict{Fate: fate})
 }
 
-// noticeCut makes up for a transaction that was cut while it rested.
+// handleCutTransaction ends the session's transaction if its connection was cut while it was idle.
 func (c *client) handleCutTransaction() {
 	flight := c.flight
 	if flight == nil {
 		return
 	}
 	c.gateway.mutex.Lock()
-	cut := flight.isCut
+	isCut := flight.isCut
 	c.gateway.mutex.Unlock()
-	if cut {
+	if isCut {
 		c.session.RolledBack()
 		c.settle(flight, session.Verdict{Fate: session.Close})
 	}
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -491,11 +491,11 @@
 // figure gives one of the gateway's figures.
 func (env *testEnv) figure(name string) float64 {
 	figures := (*env.metricsSource.Load())()
-	place := slices.IndexFunc(figures, func(one metrics.Figure) bool { return one.Name == name })
-	if place < 0 {
+	index := slices.IndexFunc(figures, func(one metrics.Figure) bool { return one.Name == name })
+	if index < 0 {
 		env.Fatalf("no figure %s", name)
 	}
-	return figures[place].Value
+	return figures[index].Value
 }
 
 func freeAddress(t *testing.T) string {
--- a/gateway/figures.go
+++ b/gateway/figures.go
@@ -2,7 +2,7 @@
 
 import "eiderway/system/metrics"
 
-// figures gives the gateway's own figures.
+// figures returns the gateway's metrics.
 func (g *Gateway) figures() []metrics.Figure {
 	totals := g.counters.totals()
 	answers := map[string]uint64{
@@ -41,7 +41,7 @@
 	return append(figures, g.stateFigures()...)
 }
 
-// standing tells by what the gateway works.
+// stateFigures returns the metrics of the gateway's sessions, lease, table and services.
 func (g *Gateway) stateFigures() []metrics.Figure {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/gateway/finder.go
+++ b/gateway/finder.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// avoidFor is how long a controller that failed is left alone while there are others to ask: about what an answer
-	// takes that doesn't come, so that one dead controller costs one such wait and not every second one.
+	// avoidFor is how long a controller that failed is avoided while there are others to ask. It is about as long as
+	// the wait for an answer that doesn't come, so that a dead controller doesn't cost every second wait.
 	avoidFor = 1500 * time.Millisecond
-	// Pauses between questions after a failure: short enough to find a new primary well within a lease, long enough
-	// for a machine with a fraction of a core. The spread keeps gateways apart.
+	// Pauses between watches after a failure: short enough to find a new primary well within a lease, long enough for a
+	// machine with a fraction of a core. The random spread keeps gateways from asking at the same time.
 	minRetryPause    = 100 * time.Millisecond
 	retryPauseSpread = 200 * time.Millisecond
-	// refusedFor is how long one is left alone that refused a connection: its process is about to start, and to be refused costs little.
+	// avoidRefusedFor is how long a controller that refused a connection is avoided. Its process is about to start, and
+	// a refusal costs little.
 	avoidRefusedFor = 150 * time.Millisecond
-	// relayFor is how long another controller is asked to ask the primary, when that can't be reached, before it is tried directly again.
+	// relayFor is how long another controller is asked to relay to a primary that can't be reached directly, before the
+	// primary is tried directly again.
 	relayFor = 5 * time.Second
-	// freeHops is how many controllers in a row may send the gateway on without a pause: more than that means that
-	// they don't agree yet.
+	// maxFreeRedirects is how many redirects in a row are followed without a pause. More of them mean that the
+	// controllers don't agree yet.
 	maxFreeRedirects = 2
 )
 
-// finder chooses which controller is asked next. It knows no clocks: now is the steady time.
+// finder chooses which controller is asked next. It has no clock: now is the monotonic time since the start.
 type finder struct {
 	seeds      []string
 	members    []string
 	primary    string
-	avoidUntil map[string]time.Duration // until when each that failed is left alone
-	relay      string                   // a controller that reaches the primary, which doesn't answer here
+	avoidUntil map[string]time.Duration // until when each controller that failed is avoided
+	relay      string                   // a controller that reaches the primary, which this gateway can't
 	relayUntil time.Duration
 	nextIndex  int
 	redirects  int
@@ -40,7 +42,7 @@
 	return &finder{seeds: seeds, avoidUntil: map[string]time.Duration{}}
 }
 
-// next is the address to be asked, or "" if none is known.
+// next returns the address to ask, or "" if none is known.
 func (f *finder) next(now time.Duration) string {
 	if f.usesRelay(now) {
 		return f.relay
@@ -63,7 +65,7 @@
 	return candidates[f.nextIndex%len(candidates)]
 }
 
-// relays tells whether the next question goes to another controller for it to ask the primary.
+// usesRelay reports whether the next watch goes to another controller that is to relay it to the primary.
 func (f *finder) usesRelay(now time.Duration) bool { return f.relay != "" && now < f.relayUntil }
 
 func (f *finder) candidates() []string {
@@ -80,7 +82,7 @@
 	return now < f.avoidUntil[address]
 }
 
-// answered records that the primary answered: the one at the address, or through it.
+// answered records that the primary answered, either at the address itself or through the relay there.
 func (f *finder) answered(now time.Duration, address string, members []quorum.Member) {
 	f.redirects = 0
 	f.setMembers(members)
@@ -91,7 +93,8 @@
 	delete(f.avoidUntil, address)
 }
 
-// failed records that the address gave no answer; refused: at once, since nobody listens there.
+// failed records that the address gave no answer. refused means that it refused the connection because nobody listens
+// there.
 func (f *finder) failed(now time.Duration, address string, refused bool) {
 	f.avoidUntil[address] = now + avoidFor
 	if refused {
@@ -105,8 +108,8 @@
 	}
 }
 
-// sentOn records that the controller at the address isn't the primary, and whom it takes for it. It tells whether the
-// next question may follow at once.
+// redirected records that the controller at the address isn't the primary, and which one it names. It reports whether
+// the next watch may follow at once.
 func (f *finder) redirected(now time.Duration, address string, primary quorum.Member, members []quorum.Member) bool {
 	f.setMembers(members)
 	f.primary = ""
@@ -117,7 +120,7 @@
 	}
 	if f.isAvoided(now, primary.Address) {
 		if wasRelay {
-			return false // it doesn't reach the primary either
+			return false // the relay doesn't reach the primary either
 		}
 		f.relay, f.relayUntil = address, now+relayFor
 		return true
@@ -127,7 +130,7 @@
 	return f.redirects <= maxFreeRedirects
 }
 
-// know replaces the members, if there are any, and forgets failures of those that are gone.
+// setMembers replaces the members, unless there are none, and forgets failures of controllers that are gone.
 func (f *finder) setMembers(members []quorum.Member) {
 	if len(members) == 0 {
 		return
--- a/gateway/flights.go
+++ b/gateway/flights.go
@@ -8,16 +8,16 @@
 	"eiderway/control/invariant"
 )
 
-// flight is a statement, or a transaction from its BEGIN to its end, that is under way at a leader. A freeze isn't
-// acknowledged while there are flights at the frozen service. Its fields belong to the gateway's lock.
+// flight is a statement, or a transaction from its BEGIN to its end, that is in progress at an instance. A freeze isn't
+// acknowledged while there are flights at the leader of the frozen service. The gateway's lock guards its fields.
 type flight struct {
 	placement placement
-	backend   *backend // nil until a connection is lent
+	backend   *backend // nil until a connection is acquired
 	isIdle    bool     // a transaction between two statements
-	isCut     bool     // the connection was cut under it
+	isCut     bool     // its connection was cut
 }
 
-// land ends the flight.
+// endFlight removes the flight and signals its end.
 func (g *Gateway) endFlight(flight *flight) {
 	g.mutex.Lock()
 	delete(g.flights, flight)
@@ -28,7 +28,7 @@
 	}
 }
 
-// lend gives the flight its connection, and tells whether the flight may go on.
+// attachBackend gives the flight its connection and reports whether the flight may continue.
 func (g *Gateway) attachBackend(flight *flight, backend *backend) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -36,14 +36,14 @@
 	return !flight.isCut
 }
 
-// rest records that the transaction's client has been answered.
+// markIdle records that the transaction waits for its client's next statement.
 func (g *Gateway) markIdle(flight *flight) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	flight.isIdle = true
 }
 
-// wake records that a statement of the transaction begins, and tells whether the transaction is still there.
+// resume records that a statement of the transaction begins and reports whether the transaction still exists.
 func (g *Gateway) resume(flight *flight) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -51,8 +51,8 @@
 	return !flight.isCut
 }
 
-// conflicts counts the flights that the table rules out. One that has no connection yet is none: it is checked again
-// before it is sent.
+// countConflicts counts the flights that the table no longer permits. A flight without a connection is none of them,
+// since it is checked again before anything is sent.
 func (g *Gateway) countConflicts() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -65,13 +65,13 @@
 	return count
 }
 
-// cutConflicts cuts the connections of flights that the table rules out. Transactions that rest end at once; for the
-// others their goroutine meets the broken connection.
+// cutConflicts cuts the connections of flights that the table no longer permits. Idle transactions end at once; the
+// goroutines of the others find their connection broken.
 func (g *Gateway) cutConflicts() {
 	g.cutFlights(func(flight *flight) bool { return g.directory.conflicts(flight.placement) })
 }
 
-// cutFlights cuts the connections of the flights chosen.
+// cutFlights cuts the connections of the chosen flights.
 func (g *Gateway) cutFlights(chosen func(*flight) bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -89,11 +89,11 @@
 	}
 }
 
-// mayBegin is the last check before a first statement is sent; the right to use the leader counts from here on.
+// mayBegin is the last check before a first statement is sent. The right to use the leader is renewed here.
 func (g *Gateway) mayBegin(flight *flight) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	flight.placement = g.directory.renewed(flight.placement)
+	flight.placement = g.directory.withCurrentLease(flight.placement)
 	now := g.elapsed()
 	return !flight.isCut && g.directory.mayBegin(now, flight.placement) && g.directory.stillAdmits(now, flight.placement)
 }
@@ -106,8 +106,9 @@
 	return !flight.isCut && g.directory.mayOpen(now, flight.placement) && g.directory.stillAdmits(now, flight.placement)
 }
 
-// noteBegin looks whether a statement that begins something was sent in time. The check before the sending refuses what comes too
-// late, so only a process that stood still in between, for longer than the margin, breaks this.
+// checkBeginTime checks that a statement that begins something at a draining instance was sent in time, and reports a
+// broken invariant if it wasn't. mayBegin and mayOpen refuse what comes too late, so this happens only if the process
+// stood still between check and sending for longer than the margin.
 func (g *Gateway) checkBeginTime(flight *flight, sentAt time.Time) {
 	if sentAt.IsZero() {
 		return
@@ -123,37 +124,37 @@
 	g.log.Errorf("%s: %s: at %s, by %v", invariant.Broken, invariant.NoLateBegin, flight.placement.instanceID(), late-margin)
 }
 
-// mayCommit is the last check before a COMMIT is sent; the right to use the leader counts from here on.
+// mayCommit is the last check before a COMMIT is sent. The right to use the leader is renewed here.
 func (g *Gateway) mayCommit(flight *flight) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	flight.placement = g.directory.renewed(flight.placement)
+	flight.placement = g.directory.withCurrentLease(flight.placement)
 	now := g.elapsed()
 	return !flight.isCut && g.directory.mayCommit(now, flight.placement) && g.directory.stillAdmits(now, flight.placement)
 }
 
-// mayAbort is the check before an ABORT. One that isn't sent closes the connection, which rolls back as well.
+// mayAbort is the check before an ABORT. If it isn't sent, its connection is closed, which rolls back as well.
 func (g *Gateway) mayAbort(flight *flight) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return !flight.isCut && g.directory.stillAdmits(g.elapsed(), flight.placement)
 }
 
-// mayGoOn is the check before another statement of a transaction.
+// mayContinue is the check before a further statement of a transaction.
 func (g *Gateway) mayContinue(flight *flight) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return !flight.isCut && g.directory.mayContinue(flight.placement) && g.directory.stillAdmits(g.elapsed(), flight.placement)
 }
 
-// lasted tells whether the right to use the leader has lasted since the statement was sent.
+// remainedValid reports whether the right to use the leader has lasted since the statement was sent.
 func (g *Gateway) remainedValid(flight *flight) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.directory.remainedValid(g.elapsed(), flight.placement)
 }
 
-// takeUnusedPools takes out the pools of instances that are gone. It is called with the lock held.
+// removeUnusedPools removes and returns the pools of instances that are gone. The caller holds the lock.
 func (g *Gateway) removeUnusedPools() []*pool {
 	var unused []*pool
 	for key, pool := range g.pools {
@@ -169,8 +170,8 @@
 	return unused
 }
 
-// poolFor returns the pool of a placement. If the placement isn't valid any more, the pool is of no use to others and
-// the check before the sending refuses the statement.
+// poolFor returns the pool of a placement. If the placement isn't valid any more, nobody else uses the pool, and the
+// check before sending refuses the statement.
 func (g *Gateway) poolFor(placement placement) *pool {
 	key := poolKey{service: placement.route.TargetService, instanceID: placement.instanceID(), address: placement.address}
 	g.mutex.Lock()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,12 +1,13 @@
-// Package gateway serves clients: it takes their sessions, runs their statements on the instances of the services, and
-// follows the controllers' table.
+// Package gateway serves clients: it accepts their sessions, runs their statements on the instances of the services,
+// and follows the table that the controllers publish.
 //
-// The rules it keeps at any price: a statement goes only to the instance that leads its service by the newest table,
-// under a valid lease and while the service isn't frozen, checked after the statement was read and again before it is
-// sent; only a read that may be some time old goes to a replica, which itself proves that its log holds a position that the
-// lawful leader had within that time; a freeze is acknowledged only when nothing is under way at the leader; a client hears of success only with
-// the instance's stamp and while the right to use the leader has lasted; and a promise that nothing is kept only where
-// that is known. Whatever can't be done under these rules is refused.
+// It never breaks the following rules. A statement goes only to the instance that leads its service by the newest
+// table, under a valid lease and while the service isn't frozen; this is checked after the statement was read and again
+// before it is sent. Only a read that tolerates stale data goes to a replica, and the replica itself proves that its
+// log holds a position that the lawful leader had within the tolerated time. A freeze is acknowledged only when nothing
+// is in flight at the leader. A client is told of success only with the instance's stamp, and only if the right to use
+// the leader lasted until the answer came. A client is told that nothing was kept only where that is known. A statement
+// that can't be run under these rules is refused.
 package gateway
 
 import (
@@ -35,11 +36,11 @@
 	Settings  system.Settings
 	Reload    <-chan system.Settings // settings that were read again; may be nil
 	Log       logrus.FieldLogger
-	Terminate <-chan struct{}      // is closed when the process has been asked to end
-	Publish   func(metrics.Source) // serves the process's figures; nil: nobody reads them
+	Terminate <-chan struct{}      // closed when the process has been asked to shut down
+	Publish   func(metrics.Source) // exposes the metrics of the process; nil: they aren't exposed
 }
 
-// watcher asks a controller for news.
+// controllerClient sends watch requests to controllers.
 type controllerClient interface {
 	Watch(ctx context.Context, address string, request feed.WatchRequest) (feed.WatchAnswer, error)
 }
@@ -49,20 +50,20 @@
 	log           logrus.FieldLogger
 	controllers   controllerClient
 	startedAt     time.Time
-	identity      string // the name and a random word: tells this life from an earlier one
+	identity      string // the name and a random ID, which distinguishes this process from earlier ones of the same name
 	name          string
 	counters      counters
 	backendCounts backendCounts
 	reports       instanceReports
-	flightEnded   chan struct{} // a flight has ended
+	flightEnded   chan struct{} // signals that a flight has ended
 	seedUpdates   chan []string
-	messageBudget *wire.Budget // of memory for long messages
+	messageBudget *wire.Budget // memory for long messages
 
-	limiter *limiter // of operations of tenants
+	limiter *limiter // enforces the tenants' limits of operations
 
-	// What belongs to the loop that asks.
-	nextUrgentAt  time.Duration // until then no question is broken off
-	failedWatches []string      // the last ones, for the log
+	// Only the goroutine that watches the controllers uses these.
+	nextUrgentAt  time.Duration // before this time no pending watch is overtaken by an urgent one
+	failedWatches []string      // the most recent ones, for the log
 
 	mutex            sync.Mutex
 	settings         system.Settings
@@ -72,15 +73,15 @@
 	pools            map[poolKey]*pool
 	clients          map[*client]struct{}
 	readStates       map[string]*readState // by service
-	primary          string                // the controller that answered last
+	primary          string                // the address of the controller that answered last
 
-	primaryRelays bool // it isn't primary, and passes questions on
+	primaryRelays bool // that controller isn't the primary but passes requests on to it
 
 	phase atomic.Int32
 }
 
-// Run serves until it is asked to terminate and has done so in order, or until the context ends. An error means that it
-// could not start.
+// Run serves until it is asked to shut down and has done so in order, or until the context ends. It returns an error if
+// it could not start.
 func Run(ctx context.Context, options Options) error {
 	controllers := &rpc.Client{Routes: options.Settings.InternalRoutes}
 	defer controllers.Close()
@@ -153,10 +154,10 @@
 }
 
 const (
-	// messageShare is the part of the machine's memory that long messages of clients may take while they are read:
-	// each is copied a few times on its way.
+	// messageMemoryShare is the divisor that gives the part of the machine's memory that long messages of clients may
+	// take while they are read. Each message is copied several times on its way.
 	messageMemoryShare = 16
-	// leastMessageMemory is enough for a few messages of the greatest length, in bytes.
+	// minMessageMemory is enough for a few messages of the maximum length, in bytes.
 	minMessageMemory = 4 * wire.MaxMessage
 )
 
@@ -171,27 +172,28 @@
 	return hex.EncodeToString(id[:])
 }
 
-// now is the steady time since the start.
+// elapsed returns the monotonic time since the start.
 func (g *Gateway) elapsed() time.Duration { return time.Since(g.startedAt) }
 
-// clientKeepAlive finds clients that have vanished: thousands rest for long, so it is done rarely.
+// clientKeepAlive detects clients that have vanished. Probes are rare since thousands of sessions are idle for long.
 var clientKeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Minute, Interval: 10 * time.Second, Count: 3}
 
 func listen(ctx context.Context, settings system.Settings) (front, readiness net.Listener, err error) {
 	config := net.ListenConfig{KeepAliveConfig: clientKeepAlive}
 	front, err = config.Listen(ctx, "tcp4", settings.Listen.Front)
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "front")
+		return nil, nil, eris.Wrap(err, "listening for clients")
 	}
 	readiness, err = config.Listen(ctx, "tcp4", settings.Listen.Readiness)
 	if err != nil {
 		front.Close()
-		return nil, nil, eris.Wrap(err, "readiness")
+		return nil, nil, eris.Wrap(err, "listening for readiness checks")
 	}
 	return front, readiness, nil
 }
 
-// readinessTime bounds each part of the platform's question: it comes every second and its answer is a line.
+// readinessTimeout bounds the reading of a readiness request and the writing of its answer. The platform asks every
+// second, and the answer is one line.
 const readinessTimeout = 2 * time.Second
 
 func (g *Gateway) serveReadiness(listener net.Listener) *http.Server {
@@ -207,15 +209,16 @@
 }
 
 const (
-	// unreadyAfter is how long the lease may be lost before the gateway says that it isn't ready: a takeover among the
-	// controllers is over by then, and new clients do better elsewhere.
+	// unreadyAfter is how long the lease may be lost before the gateway reports that it isn't ready. A takeover among
+	// the controllers is over by then, so new clients are better served elsewhere.
 	unreadyAfter = 2 * time.Second
-	// closeAfter is how long it may be lost before sessions are closed once they have been refused: by then the platform
-	// has noticed, so that they come back elsewhere.
+	// closeSessionsAfter is how long the lease may be lost before a session is closed once a statement of it has been
+	// refused. By then the platform has noticed that the gateway isn't ready, so the client reconnects elsewhere.
 	closeSessionsAfter = 6 * time.Second
 )
 
-// ready tells whether the gateway can serve: it has a configuration, isn't ending, and hasn't lost its lease for long.
+// isReady reports whether the gateway can serve: it has a configuration, isn't shutting down, and hasn't lost its lease
+// for long.
 func (g *Gateway) isReady() bool {
 	if g.hasReached(unready) {
 		return false
@@ -225,26 +228,26 @@
 	return g.directory.hasConfiguration() && !g.isLeaseLostFor(unreadyAfter)
 }
 
-// leaseLostFor tells whether the lease ran out that long ago. It is called with the lock held.
+// isLeaseLostFor reports whether the lease ran out at least that long ago. The caller holds the lock.
 func (g *Gateway) isLeaseLostFor(duration time.Duration) bool {
 	return g.elapsed() >= g.directory.leaseUntil+duration
 }
 
-// isCutOff tells whether the lease has been lost for so long that sessions are better off elsewhere.
+// isCutOff reports whether the lease has been lost for so long that sessions are better served elsewhere.
 func (g *Gateway) isCutOff() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.directory.hasConfiguration() && g.isLeaseLostFor(closeSessionsAfter)
 }
 
-// reload takes over settings that may change while the process runs.
+// watchSettings takes over settings that may change while the process runs.
 func (g *Gateway) watchSettings(ctx context.Context, changed <-chan system.Settings) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case settings, open := <-changed:
-			if !open {
+		case settings, isOpen := <-changed:
+			if !isOpen {
 				return
 			}
 			g.mutex.Lock()
@@ -255,7 +258,8 @@
 	}
 }
 
-// newSeeds hands the seeds to the loop that asks the controllers; only the newest count.
+// updateSeeds hands the seeds to the goroutine that watches the controllers. Seeds that it hasn't picked up yet are
+// replaced.
 func (g *Gateway) updateSeeds(seeds []string) {
 	select {
 	case <-g.seedUpdates:
@@ -265,9 +269,11 @@
 }
 
 const (
-	// sweepEvery is between the rounds in which unused connections of tenants are closed, which are kept for seconds only.
+	// trimInterval is the time between rounds that close unused connections of tenants. These are kept for seconds
+	// only.
 	trimInterval = time.Second
-	// sweepsInHouse is how many of these rounds there are to one in which those of others are closed too and counters printed.
+	// trimsPerFullRound is how many rounds there are to a full one, which also trims when there are no tenants, forgets
+	// tenants without connections and logs the counters.
 	trimsPerFullRound = 10
 )
 
@@ -299,7 +305,7 @@
 	}
 }
 
-// hasTenants tells whether the configuration held has tenants.
+// hasTenants reports whether the current configuration has tenants.
 func (g *Gateway) hasTenants() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -178,14 +178,14 @@
 	asked := env.first.clientStatements()
 	is.Equal(len(asked), 4)
 	noord := map[string]string{"zone": "noord"}
-	for place, want := range []ranStatement{
+	for index, want := range []ranStatement{
 		{id: "a3", text: "EXECUTE pq2c 1 x", shape: "q2c", values: noord},
 		{id: "b3", text: "EXECUTE fother 1", shape: "other", values: map[string]string{}},
 		{id: "b4", text: "EXECUTE pq2c 1 y", shape: "q2c", values: map[string]string{}},
 		{id: "a4", text: "EXECUTE pq2c 1 z", shape: "q2c", values: noord},
 	} {
 		want.connection, want.user = 1, "edge-1"
-		is.Equal(asked[place], want)
+		is.Equal(asked[index], want)
 	}
 }
 
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// operationsTime bounds a question for operations: the primary answers it at once, or says after 0.7 s that nobody confirms that it leads. A
-	// question that is given up closes the connection, and with it the gateway's question for news.
+	// operationsTimeout bounds a request for operations. The primary answers it at once, or reports after 0.7 s that its
+	// lead isn't confirmed. A request that is given up closes the connection, and with it the gateway's pending
+	// watch.
 	operationsTimeout = 1100 * time.Millisecond
-	// operationsPause is the pause after one that got no answer.
+	// operationsPause is the pause after a request that got no answer.
 	operationsPause = 50 * time.Millisecond
-	// reserveTick is between two looks at whether a reserve is to be renewed.
+	// reserveCheckInterval is the time between checks whether a reserve must be renewed.
 	reserveCheckInterval = 250 * time.Millisecond
 )
 
-// allowance lets operations of tenants begin as long as their limits allow it. Those who find its purse empty wait for what the bank
-// grants.
+// limiter admits operations of tenants within their limits. An operation for which no grant is left waits for the next
+// answer of the primary, which keeps the account of all gateways.
 type limiter struct {
 	now          func() time.Duration
-	refillNeeded chan struct{} // takes a word when the bank should be asked; holds one
+	refillNeeded chan struct{} // signals that the primary should be asked; holds one signal
 
 	mutex    sync.Mutex
 	grants   *quota.Purse
-	changed  chan struct{} // closed and replaced when the purse may hold something new
+	changed  chan struct{} // closed and replaced when grants have arrived
 	refusals refusalCounts
 }
 
@@ -37,55 +38,56 @@
 	return &limiter{now: now, refillNeeded: make(chan struct{}, 1), grants: quota.NewPurse(), changed: make(chan struct{}), refusals: refusalCounts{}}
 }
 
-// limit takes over which tenants have a limit.
-func (a *limiter) setTenants(tenants []configuration.Tenant) {
+// setTenants replaces the set of tenants that have a limit.
+func (l *limiter) setTenants(tenants []configuration.Tenant) {
 	var limited []string
 	for _, tenant := range tenants {
 		if tenant.Limited {
 			limited = append(limited, tenant.Name)
 		}
 	}
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.grants.SetLimited(limited)
-	a.refusals.foldUnlimited(limited)
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.grants.SetLimited(limited)
+	l.refusals.foldUnlimited(limited)
 }
 
-// take lets an operation of the tenant begin, if its limit allows it; it waits until the time given at the latest.
-func (a *limiter) admit(tenant string, until time.Duration) bool {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	verdict := a.grants.Take(a.now(), tenant)
+// admit reports whether an operation of the tenant may begin by its limit. It waits for a grant until the given time at
+// the latest.
+func (l *limiter) admit(tenant string, until time.Duration) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	verdict := l.grants.Take(l.now(), tenant)
 	if verdict == quota.Short {
-		a.grants.Wait(tenant)
-		defer a.grants.Waited(tenant)
+		l.grants.Wait(tenant)
+		defer l.grants.Waited(tenant)
 	}
-	if a.grants.Hungry(a.now(), tenant) {
-		a.requestRefill()
+	if l.grants.Hungry(l.now(), tenant) {
+		l.requestRefill()
 	}
-	for verdict == quota.Short && a.now() < until {
-		a.await(until)
-		verdict = a.grants.TakeAgain(a.now(), tenant)
+	for verdict == quota.Short && l.now() < until {
+		l.await(until)
+		verdict = l.grants.TakeAgain(l.now(), tenant)
 	}
 	if verdict != quota.Taken {
-		a.refusals[tenant]++
+		l.refusals[tenant]++
 	}
 	return verdict == quota.Taken
 }
 
-// refusedByTenant gives how many operations were refused, by tenant.
-func (a *limiter) refusedByTenant() map[string]uint64 {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	return a.refusals.top(maxTenantsShown)
+// refusedByTenant returns the number of refused operations by tenant.
+func (l *limiter) refusedByTenant() map[string]uint64 {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.refusals.top(maxTenantsShown)
 }
 
-// await waits for a change. It is called with the lock held, and gives it up meanwhile.
-func (a *limiter) await(until time.Duration) {
-	changed := a.changed
-	a.mutex.Unlock()
-	defer a.mutex.Lock()
-	timer := time.NewTimer(until - a.now())
+// await waits for a change. The caller holds the lock, which is released meanwhile.
+func (l *limiter) await(until time.Duration) {
+	changed := l.changed
+	l.mutex.Unlock()
+	defer l.mutex.Lock()
+	timer := time.NewTimer(until - l.now())
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -93,38 +95,38 @@
 	}
 }
 
-func (a *limiter) requestRefill() {
+func (l *limiter) requestRefill() {
 	select {
-	case a.refillNeeded <- struct{}{}:
+	case l.refillNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// next is the request to the bank that is due, if any.
-func (a *limiter) nextRequest() (quota.Request, bool) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	return a.grants.Next(a.now())
+// nextRequest returns the request for operations that is due, if any.
+func (l *limiter) nextRequest() (quota.Request, bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.grants.Next(l.now())
 }
 
-// granted books what the bank granted, and lets those who wait look again.
-func (a *limiter) applyGrants(answer quota.Answer) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.grants.Granted(a.now(), answer)
-	close(a.changed)
-	a.changed = make(chan struct{})
-	a.requestRefill() // others may have come to wait meanwhile
+// applyGrants adds what the primary granted and lets the waiting operations try again.
+func (l *limiter) applyGrants(answer quota.Answer) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.grants.Granted(l.now(), answer)
+	close(l.changed)
+	l.changed = make(chan struct{})
+	l.requestRefill() // others may have begun to wait meanwhile
 }
 
-func (a *limiter) requestFailed() {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.grants.Failed()
-	a.requestRefill()
+func (l *limiter) requestFailed() {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.grants.Failed()
+	l.requestRefill()
 }
 
-// borrow asks the primary for operations of tenants, one question at a time, until the context ends.
+// refillLimits requests operations of tenants from the primary, one request at a time, until the context ends.
 func (g *Gateway) refillLimits(ctx context.Context) {
 	ticker := time.NewTicker(reserveCheckInterval)
 	defer ticker.Stop()
@@ -135,8 +137,8 @@
 		case <-g.limiter.refillNeeded:
 		case <-ticker.C:
 		}
-		request, due := g.limiter.nextRequest()
-		if !due {
+		request, isDue := g.limiter.nextRequest()
+		if !isDue {
 			continue
 		}
 		g.counters.operationRequests.Add(1)
@@ -148,7 +150,7 @@
 	}
 }
 
-// askForOperations tells whether the question was answered.
+// requestOperations sends the request and reports whether it was answered.
 func (g *Gateway) requestOperations(ctx context.Context, request quota.Request) bool {
 	address, relay := g.primaryAddress()
 	if address == "" {
@@ -173,7 +175,8 @@
 	return g.primary, g.primaryRelays
 }
 
-// limitOf says for whom an operation of a client is likely to count, and until when it may wait; "": for nobody, or it can't be served now.
+// limitedTenant returns the tenant for which an operation of the client is likely to count and until when it may wait.
+// The tenant is "" if the operation counts for none or can't be served now.
 func (g *Gateway) limitedTenant(database string, key access.Key, receivedAt time.Duration) (tenant string, until time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -185,8 +188,8 @@
 	return tenant, receivedAt + maxPlacementWait(placement{route: route})
 }
 
-// count takes the operation out for the tenant, as far as its limit goes. One that was counted for this tenant and hasn't been sent
-// isn't counted again; what was counted for another is lost.
+// charge takes one operation from the tenant's limit and reports whether the limit allows it. An operation that was
+// charged to this tenant and hasn't been run isn't charged again; a charge to another tenant is lost.
 func (c *client) charge(tenant string, until time.Duration) bool {
 	if tenant == "" || c.chargedTenant == tenant {
 		return true
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -9,24 +9,24 @@
 	"eiderway/control/feed"
 )
 
-// placement is where a statement goes, and under what right.
+// placement is where a statement goes, and the right under which it may go there.
 type placement struct {
 	route       configuration.Route
 	leader      feed.Leader
 	address     string
-	leaseLapses uint64            // of the lease when it was checked last
-	replica     feed.Instance     // with an id: the statement goes to this replica instead of the leader
-	minPosition failover.Position // at a replica: what its log must hold
+	leaseLapses uint64            // the directory's count at the last check
+	replica     feed.Instance     // set if the statement goes to this replica instead of the leader
+	minPosition failover.Position // that a replica's log must hold
 	key         access.Key        // of the client
-	tenant      string            // for whom it runs; "": nobody's
+	tenant      string            // for which the statement runs; "": none
 
 	maxConnections int
 }
 
-// atReplica tells whether the placement is a replica, for a read that may be some time old.
+// atReplica reports whether the statement goes to a replica, which only reads that tolerate stale data do.
 func (p placement) atReplica() bool { return p.replica.ID != "" }
 
-// instanceID is that of the instance where the statement goes.
+// instanceID returns the ID of the instance where the statement goes.
 func (p placement) instanceID() string {
 	if p.atReplica() {
 		return p.replica.ID
@@ -34,7 +34,7 @@
 	return p.leader.InstanceID
 }
 
-// refusal says why there is no placement.
+// refusal is the reason why a statement has no placement.
 type refusal string
 
 const (
@@ -48,16 +48,17 @@
 	leaderDraining  refusal = "the leader goes, and nobody follows it yet"
 )
 
-// configured tells whether there is a configuration to work by.
+// hasConfiguration reports whether a configuration has been received.
 func (d *directory) hasConfiguration() bool { return d.table.ConfigurationNumber > 0 }
 
-// lacks tells whether it is known that there is no such database.
+// lacksDatabase reports whether it is known that there is no such database.
 func (d *directory) lacksDatabase(now time.Duration, database string) bool {
 	_, known := d.routes[database]
 	return !known && d.hasConfiguration() && d.hasLease(now)
 }
 
-// placeFor says where a first statement of a client goes. A key that isn't known is refused before anything else is waited for.
+// placeForKey places a first statement of a client with this key. An unknown key is refused before anything else is
+// waited for.
 func (d *directory) placeForKey(now time.Duration, database string, key access.Key) (placement, refusal) {
 	placement, reason := d.place(now, database)
 	if d.rejectsKey(now, database, key) {
@@ -68,7 +69,7 @@
 	return placement, reason
 }
 
-// place says where a first statement on the database goes.
+// place returns where a first statement on the database goes.
 func (d *directory) place(now time.Duration, database string) (placement, refusal) {
 	route, known := d.routes[database]
 	switch {
@@ -97,8 +98,9 @@
 	}, notRefused
 }
 
-// placeRead says at which replicas a read that may be some time old can run: those of the table that don't drain. It needs the lease, under which
-// no drain is missed for long; but neither a leader nor one that isn't frozen.
+// placeStaleRead returns the replicas at which a read that tolerates stale data can run: all in the table that aren't
+// draining. It needs the lease, under which a drain isn't missed for long, but no leader, and the service may be
+// frozen.
 func (d *directory) placeStaleRead(now time.Duration, database string) (placement, []feed.Instance) {
 	route, known := d.routes[database]
 	if !known || !d.hasConfiguration() || !d.hasLease(now) || !allowsStaleReads(route) {
@@ -117,8 +119,8 @@
 	return placement{route: route, leaseLapses: d.leaseLapses, maxConnections: target.maxConnections}, replicas
 }
 
-// mayRunOld tells whether reads of the route may run on data that is some time old.
+// allowsStaleReads reports whether reads of the route tolerate stale data.
 func allowsStaleReads(route configuration.Route) bool {
-	old := route.Class == configuration.BoundedStale || route.Class == configuration.SelfManaged
-	return old && route.MaxStalenessMs > 0
+	toleratesStale := route.Class == configuration.BoundedStale || route.Class == configuration.SelfManaged
+	return toleratesStale && route.MaxStalenessMs > 0
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -14,12 +14,14 @@
 )
 
 const (
-	// poolShare is the part of an instance's connections that one gateway takes at most: the others, whose number it
-	// doesn't know, need some too, and so do controllers, replicas and gateways that still close theirs.
+	// poolShare is the divisor that gives the part of an instance's connections that one gateway takes at most. The
+	// other gateways, whose number it doesn't know, need some too, and so do controllers, replicas and gateways that
+	// are still closing theirs.
 	poolShare = 4
-	// poolLeast is what a pool may hold in any case, and what is tried where the configuration says nothing.
+	// minPoolSize is what a pool may hold in any case, and its limit where the configuration has none.
 	minPoolSize = 4
-	// rollbackTime bounds the end of a transaction that its session has given up. It needs no slot.
+	// rollbackTimeout bounds the rollback of a transaction that its session has abandoned. A rollback needs no slot at
+	// the instance.
 	rollbackTimeout = time.Second
 )
 
@@ -35,10 +37,10 @@
 	conn     *wire.Conn
 	state    *session.Backend
 	lastUsed time.Duration
-	lastUser *liveness // of the session that had it last; nil: nobody's yet
+	lastUser *liveness // the session that used it last; nil: none has yet
 }
 
-// ask is what a statement wants of a pool: a connection of its tenant's, for its session, at the latest at until.
+// acquireRequest is a statement's request for a connection of its tenant, suited to its session, no later than until.
 type acquireRequest struct {
 	session  *session.Session
 	liveness *liveness
@@ -50,50 +52,50 @@
 // waiter is a statement that waits for a connection.
 type waiter struct {
 	acquireRequest
-	given chan *backend // takes one; nil: there won't be one
+	given chan *backend // receives one connection; nil if there won't be one
 }
 
-// poolKey names an instance as a leader.
+// poolKey identifies an instance of a service at one address.
 type poolKey struct {
 	service    string
 	instanceID string
 	address    string
 }
 
-// pool holds the connections to one instance. Each is lent to sessions of the tenant only under whose name it was made, and in whose name the
-// instance runs what is sent on it.
+// pool holds the connections to one instance. A connection is made under the name of a tenant, and the instance runs
+// whatever is sent on it in that name, so it is lent only to sessions of that tenant.
 type pool struct {
 	key           poolKey
 	defaultUser   string
 	now           func() time.Duration
-	reportFailure func(instanceID string) // is told of connections that could not be made, while the instance leads
+	reportFailure func(instanceID string) // called when a connection to the leader could not be made
 	isLeader      atomic.Bool
 	counts        *backendCounts
 
-	// What tests put in other words.
+	// Tests replace these.
 	dial     func(ctx context.Context, tenant string) (*wire.Conn, error)
 	launch   func(func())
 	schedule func(time.Duration, func())
 
 	mutex            sync.Mutex
-	idle             []*backend            // the one used last is the last
+	idle             []*backend            // the most recently used one is last
 	waiting          []*waiter             // by priority, then by time left
-	open             int                   // idle, lent, and being made
+	open             int                   // idle, lent and being made
 	tenants          map[string]*tenantUse // by tenant
 	limit            int                   // by the configuration
-	allowed          int                   // as far as the instance has let us
+	allowed          int                   // what the instance has accepted; at most the limit
 	growAt           time.Duration
 	retryAt          time.Duration
-	isRetryScheduled bool // there will be another try at retryAt
+	isRetryScheduled bool // a timer for retryAt is running
 	retention        retention
-	closed           bool
+	isClosed         bool
 }
 
-// part is what a pool holds of one tenant.
+// tenantUse is what a pool holds for one tenant.
 type tenantUse struct {
-	open       int // idle, lent, and being made
+	open       int // idle, lent and being made
 	dialing    int
-	lastReason dialReason // what became of the last one, without any
+	lastReason dialReason // why the last connection closed; counted for the next one if none is open
 	closedAt   time.Duration
 }
 
@@ -108,7 +110,7 @@
 	return pool
 }
 
-// allow sets how many connections the instance takes from all its callers.
+// setMaxConnections sets how many connections the instance accepts from all its callers.
 func (p *pool) setMaxConnections(maxConnections int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -118,7 +120,7 @@
 	}
 }
 
-// acquire lends a connection.
+// acquire lends a connection, which the caller gives back with release, discard or rollback.
 func (p *pool) acquire(request acquireRequest) (*backend, error) {
 	for {
 		backend, waiter, err := p.takeOrQueue(request)
@@ -141,7 +143,7 @@
 func (p *pool) takeOrQueue(request acquireRequest) (*backend, *waiter, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.closed {
+	if p.isClosed {
 		return nil, nil, errPoolClosed
 	}
 	if backend := p.takeIdle(request); backend != nil {
@@ -152,13 +154,13 @@
 		return nil, nil, errNoConnection
 	}
 	waiter := &waiter{acquireRequest: request, given: make(chan *backend, 1)}
-	place, _ := slices.BinarySearchFunc(p.waiting, waiter, waitsAfter)
-	p.waiting = slices.Insert(p.waiting, place, waiter)
+	index, _ := slices.BinarySearchFunc(p.waiting, waiter, waitsAfter)
+	p.waiting = slices.Insert(p.waiting, index, waiter)
 	p.dialForWaiters(now)
 	return nil, waiter, nil
 }
 
-// waitsAfter orders the queue: by priority, then by time left; of equals, who came first.
+// waitsAfter orders the queue by priority, then by time left, then by arrival.
 func waitsAfter(a, b *waiter) int {
 	if a.priority != b.priority {
 		return a.priority - b.priority
@@ -169,7 +171,7 @@
 	return 1
 }
 
-// await waits for a connection to be handed over.
+// await waits for a connection to be given to the waiter.
 func (p *pool) await(waiter *waiter) (*backend, error) {
 	timer := time.NewTimer(waiter.until - p.now())
 	defer timer.Stop()
@@ -184,15 +186,16 @@
 	return backendOrError(<-waiter.given)
 }
 
-// giveUp takes a waiter out of the queue, and tells whether it was still there: otherwise it has been given something.
+// cancelWait takes a waiter out of the queue and reports whether it was still there. If it wasn't, something has been
+// given to it.
 func (p *pool) cancelWait(waiter *waiter) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	place := slices.Index(p.waiting, waiter)
-	if place < 0 {
+	index := slices.Index(p.waiting, waiter)
+	if index < 0 {
 		return false
 	}
-	p.waiting = slices.Delete(p.waiting, place, place+1)
+	p.waiting = slices.Delete(p.waiting, index, index+1)
 	return true
 }
 
@@ -203,7 +206,7 @@
 	return backend, nil
 }
 
-// refuseAll sends all who wait away. It is called with the lock held.
+// refuseWaiters tells all waiters that there won't be a connection. The caller holds the lock.
 func (p *pool) refuseWaiters() {
 	for _, waiter := range p.waiting {
 		waiter.given <- nil
@@ -211,12 +214,12 @@
 	p.waiting = nil
 }
 
-// hand passes a sound connection on: to whoever of its tenant waits, unless somebody of another tenant needs its room first; else it is kept. It
-// is called with the lock held.
+// handOver passes a usable connection to the first waiter of its tenant, unless a waiter of another tenant needs its
+// room first. Without a waiter the connection stays idle. The caller holds the lock.
 func (p *pool) handOver(backend *backend) {
 	now := p.now()
 	switch {
-	case p.closed:
+	case p.isClosed:
 		p.closeBackend(backend, afterBroken)
 	case p.mustGiveWay(now, backend.tenant):
 		p.closeBackend(backend, afterEviction)
@@ -228,8 +231,8 @@
 	}
 }
 
-// mustGiveWay tells whether the pool is full, and the first who waits and could be helped is of another tenant: without this, tenants whose
-// connections are never idle would keep all others out for ever. It is called with the lock held.
+// mustGiveWay reports whether the pool is full and the first waiter that could be served is of another tenant. Without
+// this, tenants whose connections are never idle would keep all others out for ever. The caller holds the lock.
 func (p *pool) mustGiveWay(now time.Duration, tenant string) bool {
 	if p.open < p.allowed || now < p.retryAt {
 		return false
@@ -246,26 +249,27 @@
 	return false
 }
 
-// handToWaiter gives a connection to whoever of its tenant waits first, and tells whether somebody does. It is called with the lock held.
+// giveToWaiter gives a connection to the first waiter of its tenant and reports whether there is one. The caller holds
+// the lock.
 func (p *pool) giveToWaiter(backend *backend) bool {
-	place := slices.IndexFunc(p.waiting, func(waiter *waiter) bool { return waiter.tenant == backend.tenant })
-	if place < 0 {
+	index := slices.IndexFunc(p.waiting, func(waiter *waiter) bool { return waiter.tenant == backend.tenant })
+	if index < 0 {
 		return false
 	}
-	backend.lastUser = p.waiting[place].liveness
-	p.waiting[place].given <- backend
-	p.waiting = slices.Delete(p.waiting, place, place+1)
+	backend.lastUser = p.waiting[index].liveness
+	p.waiting[index].given <- backend
+	p.waiting = slices.Delete(p.waiting, index, index+1)
 	return true
 }
 
-// free takes back a sound connection that is outside a transaction.
+// release takes back a usable connection that is outside a transaction.
 func (p *pool) release(backend *backend) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.handOver(backend)
 }
 
-// drop takes back a connection that can't be used any more, and closes it.
+// discard takes back a connection that can't be used any more, and closes it.
 func (p *pool) discard(backend *backend) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -273,8 +277,8 @@
 	p.dialForWaiters(p.now())
 }
 
-// rollback ends the transaction on a connection whose session has given it up, and takes the connection back. It
-// doesn't wait for it.
+// rollback ends the transaction on a connection that its session has abandoned, and takes the connection back. It
+// returns before that is done.
 func (p *pool) rollback(backend *backend) {
 	p.launch(func() {
 		answer, err := backend.conn.QueryBy(time.Now().Add(rollbackTimeout), wire.OwnID, string(wire.Abort))
@@ -287,16 +291,16 @@
 	})
 }
 
-// close ends the use of the instance: idle connections are closed now, lent ones when they are given back.
+// close ends the use of the instance. Idle connections are closed now, lent ones when they are given back.
 func (p *pool) close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.closed = true
+	p.isClosed = true
 	p.closeIdle(afterBroken, func(*backend) bool { return true })
 	p.refuseWaiters()
 }
 
-// size is how many connections there are.
+// size returns the number of connections, including those that are being made.
 func (p *pool) size() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/gateway/pool_dial.go
+++ b/gateway/pool_dial.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// growEvery is how soon a pool tries one connection more after the instance refused one: often enough to make use
-	// of what others give back within a few seconds, rarely enough not to cost the instance's slots.
+	// growInterval is how soon a pool tries one more connection after the instance refused one: often enough to use
+	// what other gateways give back within a few seconds, rarely enough not to burden the instance's slots.
 	growInterval = time.Second
-	// dialTime bounds the making of a connection: an instance that is there answers within a few round trips and a
-	// wait for a slot.
+	// dialTimeout bounds the making of a connection. An instance that is up answers within a few round trips and a wait
+	// for a slot.
 	dialTimeout = 1500 * time.Millisecond
-	// retryDial is the pause after a connection that could not be made.
+	// dialRetryPause is the pause after a connection could not be made.
 	dialRetryPause = 50 * time.Millisecond
 )
 
-// makeMore makes connections for those who wait, as far as the limits go. It is called with the lock held.
+// dialForWaiters starts connections for those that wait, within the limits. The caller holds the lock.
 func (p *pool) dialForWaiters(now time.Duration) {
 	if p.allowed < p.limit && now >= p.growAt {
 		p.allowed++
 		p.growAt = now + growInterval
 	}
-	if p.closed || p.isPaused(now) {
+	if p.isClosed || p.mustPause(now) {
 		return
 	}
 	for _, waiter := range p.waitersWithoutDial() {
@@ -37,7 +37,8 @@
 	}
 }
 
-// unserved are those who wait and for whom no connection is being made, in the order of the queue. It is called with the lock held.
+// waitersWithoutDial returns the waiters for which no connection is being made, in the order of the queue. The caller
+// holds the lock.
 func (p *pool) waitersWithoutDial() []*waiter {
 	if len(p.waiting) == 0 {
 		return nil
@@ -53,7 +54,8 @@
 	return unserved
 }
 
-// makeRoom tells whether there is room for another connection, for which an idle one gives way if need be. It is called with the lock held.
+// makeRoom reports whether there is room for another connection, and closes an idle one for it if necessary. The caller
+// holds the lock.
 func (p *pool) makeRoom() bool {
 	if p.open < p.allowed {
 		return true
@@ -65,7 +67,7 @@
 	return p.open < p.allowed
 }
 
-// startMaking is called with the lock held.
+// startDial starts to make a connection for the tenant. The caller holds the lock.
 func (p *pool) startDial(tenant string) {
 	use := p.tenants[tenant]
 	if use == nil {
@@ -82,7 +84,7 @@
 	p.launch(func() { p.dialFor(tenant, reason) })
 }
 
-// make makes a connection for a tenant.
+// dialFor makes a connection for the tenant.
 func (p *pool) dialFor(tenant string, reason dialReason) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -91,13 +93,14 @@
 	defer p.mutex.Unlock()
 	p.tenants[tenant].dialing--
 	if err != nil {
-		p.dialFailed(tenant, err)
+		p.handleDialFailure(tenant, err)
 		return
 	}
 	p.counts.made[reason].Add(1)
 	backend := &backend{pool: p, tenant: tenant, conn: conn, state: session.NewBackend()}
-	// Whoever it was made for has it, whoever else waits: it has cost the instance a slot.
-	if p.closed || !p.giveToWaiter(backend) {
+	// The waiter that it was made for gets the connection, even if others wait with a higher priority: making it has
+	// cost the instance a slot.
+	if p.isClosed || !p.giveToWaiter(backend) {
 		p.handOver(backend)
 	}
 }
@@ -106,7 +109,7 @@
 	return wire.Dial(ctx, p.key.address, p.key.service, p.userOf(tenant), p.key.instanceID)
 }
 
-// whoOf is the name under which connections for a tenant are made.
+// userOf returns the name under which connections for a tenant are made.
 func (p *pool) userOf(tenant string) string {
 	if tenant == "" {
 		return p.defaultUser
@@ -114,8 +117,8 @@
 	return tenant
 }
 
-// notMade deals with a connection that could not be made. It is called with the lock held.
-func (p *pool) dialFailed(tenant string, err error) {
+// handleDialFailure handles a connection that could not be made. The caller holds the lock.
+func (p *pool) handleDialFailure(tenant string, err error) {
 	now := p.now()
 	p.recordClosed(tenant, p.tenants[tenant].lastReason)
 	p.retryAt = now + dialRetryPause
@@ -125,7 +128,7 @@
 		p.counts.failed.Add(1)
 	case refused.Code == wire.ConnLimit:
 		p.counts.limited.Add(1)
-		p.instanceFull(now)
+		p.handleConnLimit(now)
 	default:
 		p.counts.refused.Add(1)
 	}
@@ -139,9 +142,10 @@
 	p.dialForWaiters(now)
 }
 
-// atLimit: the instance takes no more connections, from any gateway. What is idle here gives way: to those who wait here, and to other
-// gateways' by being kept for a shorter time. It is called with the lock held.
-func (p *pool) instanceFull(now time.Duration) {
+// handleConnLimit handles a refusal because the instance accepts no more connections from any gateway. Idle connections
+// make room for those that wait here, and for other gateways by being kept for a shorter time. The caller holds the
+// lock.
+func (p *pool) handleConnLimit(now time.Duration) {
 	p.allowed = max(1, p.open)
 	p.growAt = now + growInterval
 	if len(p.idle) > 0 {
@@ -151,9 +155,9 @@
 	p.closeExpired(now, afterEviction)
 }
 
-// mustPause tells whether no connection is to be made for a while, since one could not be made. Those who wait are tried for when the pause is
-// over: nothing else need happen by then. It is called with the lock held.
-func (p *pool) isPaused(now time.Duration) bool {
+// mustPause reports whether dialing pauses because a connection could not be made. It also schedules the next try for
+// those that wait, since nothing else need happen by the end of the pause. The caller holds the lock.
+func (p *pool) mustPause(now time.Duration) bool {
 	if now >= p.retryAt {
 		return false
 	}
--- a/gateway/pool_idle.go
+++ b/gateway/pool_idle.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// idleTime is how long a connection that nobody needs is kept where there are no tenants, and idleKept how many are kept for ever: a new one
-	// costs a slot at the instance. Those of tenants are kept as their retention says.
+	// maxIdleTime is how long an unused connection is kept where there are no tenants, and minIdleKept how many are
+	// kept for ever, since a new connection costs a slot at the instance. The retention decides on connections of
+	// tenants.
 	maxIdleTime = 20 * time.Second
 	minIdleKept = 2
-	// partKept is how long it is remembered what became of a tenant's last connection.
+	// tenantUseKept is how long the pool remembers why a tenant's last connection closed.
 	tenantUseKept = time.Minute
 )
 
-// takeIdle takes the tenant's idle connection that suits the session best; of several, the one used last. It is called with the lock held.
+// takeIdle takes the idle connection of the tenant that suits the session best; of several, the most recently used. The
+// caller holds the lock.
 func (p *pool) takeIdle(request acquireRequest) *backend {
 	best, bestFit := -1, session.Fit(-1)
-	for place := len(p.idle) - 1; place >= 0 && bestFit != session.Fits; place-- {
-		if p.idle[place].tenant != request.tenant {
+	for index := len(p.idle) - 1; index >= 0 && bestFit != session.Fits; index-- {
+		if p.idle[index].tenant != request.tenant {
 			continue
 		}
-		if fit := request.session.FitOf(p.idle[place].state); fit > bestFit {
-			best, bestFit = place, fit
+		if fit := request.session.FitOf(p.idle[index].state); fit > bestFit {
+			best, bestFit = index, fit
 		}
 	}
 	if best < 0 {
@@ -36,21 +38,21 @@
 	return backend
 }
 
-// leastWanted is the idle connection that gives way first: the one that has been unused for longest among those whose last session has ended,
-// else among all. It is called with the lock held, and with one that is idle.
+// leastValuable returns the index of the idle connection to be closed first: the one unused for longest among those
+// whose last session has ended, else among all. There must be an idle connection. The caller holds the lock.
 func (p *pool) leastValuable() int {
 	ended := slices.IndexFunc(p.idle, func(unused *backend) bool { return !unused.lastUser.isLive() })
 	return max(0, ended)
 }
 
-// closeOne closes the idle connection at the place, to make room. It is called with the lock held.
-func (p *pool) closeIdleAt(place int) {
-	unused := p.idle[place]
-	p.idle = slices.Delete(p.idle, place, place+1)
+// closeIdleAt closes the idle connection at the index to make room. The caller holds the lock.
+func (p *pool) closeIdleAt(index int) {
+	unused := p.idle[index]
+	p.idle = slices.Delete(p.idle, index, index+1)
 	p.closeBackend(unused, afterEviction)
 }
 
-// closeIdle closes the idle connections that are chosen. It is called with the lock held.
+// closeIdle closes the chosen idle connections. The caller holds the lock.
 func (p *pool) closeIdle(reason dialReason, chosen func(*backend) bool) {
 	p.idle = slices.DeleteFunc(p.idle, func(unused *backend) bool {
 		if !chosen(unused) {
@@ -61,13 +63,13 @@
 	})
 }
 
-// shut closes a connection that is neither idle nor lent any more. It is called with the lock held.
+// closeBackend closes a connection that is neither idle nor lent any more. The caller holds the lock.
 func (p *pool) closeBackend(backend *backend, reason dialReason) {
 	backend.conn.Close()
 	p.recordClosed(backend.tenant, reason)
 }
 
-// gone counts a connection of the tenant's less. It is called with the lock held.
+// recordClosed counts one connection of the tenant less. The caller holds the lock.
 func (p *pool) recordClosed(tenant string, reason dialReason) {
 	p.open--
 	use := p.tenants[tenant]
@@ -75,7 +77,7 @@
 	use.lastReason, use.closedAt = reason, p.now()
 }
 
-// closeExpired closes idle connections that have been unused for too long, the oldest first. It is called with the lock held.
+// closeExpired closes idle connections that have been unused for too long, the oldest first. The caller holds the lock.
 func (p *pool) closeExpired(now time.Duration, reason dialReason) {
 	newer := 0
 	for _, unused := range p.idle {
@@ -96,7 +98,7 @@
 	})
 }
 
-// trim closes connections that haven't been used for long, and helps those who wait if there is room by now.
+// trim closes connections that have been unused for too long, and dials for those that wait if there is room by now.
 func (p *pool) trim() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -106,7 +108,7 @@
 	p.dialForWaiters(now)
 }
 
-// forgetParts forgets tenants that have had no connection for long.
+// forgetTenants forgets tenants that have had no connection for long.
 func (p *pool) forgetTenants() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/gateway/reads.go
+++ b/gateway/reads.go
@@ -13,16 +13,16 @@
 	"eiderway/wire"
 )
 
-// replicaTries is how many replicas a read is offered to, before the leader gets it.
+// maxReplicaTries is how many replicas are offered a read before the leader gets it.
 const maxReplicaTries = 2
 
-// reads is what is known of a service for reads that may be some time old. It belongs to the gateway's lock.
+// readState is what is known of a service for reads that tolerate stale data. The gateway's lock guards it.
 type readState struct {
 	positions role.Positions
 	picker    *routing.Picker
 }
 
-// readsOf is called with the lock held.
+// readState returns the state of the service, which it creates if necessary. The caller holds the lock.
 func (g *Gateway) readState(service string) *readState {
 	state := g.readStates[service]
 	if state == nil {
@@ -33,7 +33,7 @@
 	return state
 }
 
-// forgetReads forgets services that are gone, and instances that are. It is called with the lock held.
+// forgetRemovedInstances forgets services and instances that are gone. The caller holds the lock.
 func (g *Gateway) forgetRemovedInstances() {
 	for name, state := range g.readStates {
 		target := g.directory.services[name]
@@ -45,7 +45,8 @@
 	}
 }
 
-// departRead finds a replica for a read, and registers the flight in the same moment; nil: the leader is to have it.
+// startAtReplica finds a replica for a read and registers the flight under the same lock. It returns nil if the leader
+// must run the read.
 func (g *Gateway) startAtReplica(database string, key access.Key, lastCommit failover.Position, tried []string) *flight {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -72,7 +73,7 @@
 	return flight
 }
 
-// boundOf is what a read of the route must see.
+// boundOf returns what a read of the route must see.
 func boundOf(route configuration.Route) role.Bound {
 	return role.Bound{
 		Staleness: time.Duration(route.MaxStalenessMs) * time.Millisecond,
@@ -80,7 +81,7 @@
 	}
 }
 
-// replicaAnswered notes what came of a read at a replica.
+// recordReplicaResult records the outcome of a read at a replica.
 func (g *Gateway) recordReplicaResult(flight *flight, outcome session.Outcome, took time.Duration) {
 	result := resultOf(outcome)
 	if result == routing.Served {
@@ -94,10 +95,11 @@
 	g.readState(flight.placement.route.TargetService).picker.Ended(g.elapsed(), flight.placement.replica.ID, result, took)
 }
 
-// wasNotAsked tells whether a statement was stopped here, for a reason that has nothing to do with the instance.
+// wasStoppedLocally reports whether the gateway stopped a statement for a reason that has nothing to do with the
+// instance.
 func wasStoppedLocally(reason string) bool { return reason == overLimit || reason == string(frozen) }
 
-// resultOf reads what an outcome says of the instance.
+// resultOf returns what an outcome says about the instance.
 func resultOf(outcome session.Outcome) routing.Result {
 	switch {
 	case outcome.Kind == session.NotRun && (outcome.Intact || wasStoppedLocally(outcome.Reason)):
@@ -120,8 +122,8 @@
 	return routing.Unsaid
 }
 
-// leaderNamed notes the position that the leader named in an answer to what was sent no earlier than asked, if it was the lawful leader all the
-// while.
+// recordLeaderPosition records the position that the leader named in an answer to a statement sent no earlier than
+// askedAt, if it was the lawful leader all the time.
 func (g *Gateway) recordLeaderPosition(flight *flight, askedAt time.Duration, answer wire.Answer) {
 	if flight.placement.atReplica() || answer.State != wire.Idle {
 		return // inside a transaction the position may be that of its beginning
--- a/gateway/refusals.go
+++ b/gateway/refusals.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// mostTenantsShown bounds the names among the figures.
+	// maxTenantsShown bounds the number of tenant names among the metrics.
 	maxTenantsShown = 10
 	// otherTenants stands for all tenants that aren't shown by name.
 	otherTenants = "(others)"
 )
 
-// refusals counts operations that a tenant's limit didn't allow, by tenant.
+// refusalCounts counts the operations that tenants' limits didn't allow, by tenant.
 type refusalCounts map[string]uint64
 
-// keep forgets the names of tenants that have no limit any more.
+// foldUnlimited moves the counts of tenants that have no limit any more to otherTenants.
 func (r refusalCounts) foldUnlimited(limited []string) {
 	known := make(map[string]bool, len(limited))
 	for _, tenant := range limited {
@@ -30,13 +30,13 @@
 	}
 }
 
-// busiest gives the tenants with the most refusals, and the sum of all others.
-func (r refusalCounts) top(most int) map[string]uint64 {
+// top returns the tenants with the most refusals, and the sum of all others.
+func (r refusalCounts) top(limit int) map[string]uint64 {
 	named := slices.DeleteFunc(slices.Collect(maps.Keys(r)), func(tenant string) bool { return tenant == otherTenants })
 	slices.SortFunc(named, func(a, b string) int { return cmp.Or(cmp.Compare(r[b], r[a]), cmp.Compare(a, b)) })
 	shown := map[string]uint64{otherTenants: r[otherTenants]}
-	for index, tenant := range named {
-		if index < most {
+	for position, tenant := range named {
+		if position < limit {
 			shown[tenant] = r[tenant]
 		} else {
 			shown[otherTenants] += r[tenant]
--- a/gateway/retention.go
+++ b/gateway/retention.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// How long idle connections of tenants are kept. An instance's connections are counted over all gateways, whose number none of them knows, and
-// each keeps some for each tenant: so it is time that bounds their sum. A new connection costs a slot for some milliseconds, one beyond the
-// limit costs a refusal: the bounds are far on the side of the former.
+// How long idle connections of tenants are kept. An instance's limit counts the connections of all gateways, whose
+// number no gateway knows, and each gateway keeps some for each tenant; so only time bounds their sum. A new connection
+// costs a slot for some milliseconds, while one beyond the limit costs a refusal, so the times are short.
 const (
-	// wantedTime is how long a connection is kept whose last session is still open, as long as it is among the wantedKept that were used last:
-	// most of these sessions ask again within it. At a quiet instance these are all that there are; at a busy one a gateway has
-	// more, and the others are kept for surplusTime.
+	// maxLiveTime is how long a connection is kept whose last session is still open, if it is among the fullyKept most
+	// recently used ones. Most of these sessions send another statement within it. At a quiet instance a gateway has no
+	// more than these; at a busy one it has more, and the others are kept for surplusTime.
 	maxLiveTime = 8 * time.Second
 	fullyKept   = 2
 	surplusTime = time.Second
-	// wantedLeast is what is left of it where an instance is at its limit all the time: even then a connection outlives the pause between a
-	// try that failed and the next.
+	// minLiveTime is the lower bound of that time at an instance that is always at its limit. Even there a connection
+	// outlives the pause between a failed try and the next.
 	minLiveTime = 250 * time.Millisecond
-	// unwantedTime is how long one is kept whose last session has ended: another of the same tenant seldom asks so soon.
+	// endedTime is how long a connection is kept whose last session has ended. Another session of the same tenant
+	// seldom needs one so soon.
 	endedTime = 500 * time.Millisecond
-	// shortenPause is within what refusals count as one sign: those that are under way together say the same.
+	// shortenPause is the time within which several refusals count as one, since those in progress together have the
+	// same cause.
 	shortenPause = 500 * time.Millisecond
-	// lengthenEvery and lengthenBy are how the time grows again: the limit is to be met seldom, not approached again at once.
+	// lengthenInterval and lengthenBy are how often and by how much the time grows again. It grows slowly, so that the
+	// instance is seldom at its limit.
 	lengthenInterval = 10 * time.Second
 	lengthenBy       = 500 * time.Millisecond
 )
 
-// retention says how long idle connections of tenants are kept at one instance. An instance that is at its limit halves the time at each
-// gateway that it refuses. It knows no clock: now is the steady time.
+// retention decides how long idle connections of tenants are kept at one instance. An instance at its limit halves the
+// time at each gateway that it refuses. It has no clock: now is the monotonic time since the start.
 type retention struct {
 	liveTime     time.Duration
 	changedAt    time.Duration
@@ -37,7 +40,7 @@
 
 func newRetention() retention { return retention{liveTime: maxLiveTime} }
 
-// refused notes that the instance was at its limit.
+// shorten records that the instance was at its limit.
 func (r *retention) shorten(now time.Duration) {
 	if r.wasShortened && now < r.changedAt+shortenPause {
 		return
@@ -46,7 +49,7 @@
 	r.liveTime = max(minLiveTime, r.liveTime/2)
 }
 
-// lengthen lets the time grow again, if the instance hasn't been at its limit for long.
+// lengthen lets the time grow again if the instance hasn't been at its limit for a while.
 func (r *retention) lengthen(now time.Duration) {
 	if r.liveTime == maxLiveTime || now < r.changedAt+lengthenInterval {
 		return
@@ -55,8 +58,8 @@
 	r.liveTime = min(maxLiveTime, r.liveTime+lengthenBy)
 }
 
-// keep is how long a connection is kept that was used last by a session that is still open, or isn't; newer is how many of the former kind have
-// been used since.
+// keepTime returns how long a connection is kept. isLive tells whether the session that used it last is still open;
+// newer is how many idle connections of open sessions have been used since.
 func (r *retention) keepTime(isLive bool, newer int) time.Duration {
 	switch {
 	case !isLive:
@@ -67,10 +70,10 @@
 	return r.liveTime
 }
 
-// interest is a session's interest in the connections that it has used.
+// liveness tells whether the session that used a connection last is still open.
 type liveness struct{ ended atomic.Bool }
 
-func (i *liveness) end() { i.ended.Store(true) }
+func (l *liveness) end() { l.ended.Store(true) }
 
-// lasts tells whether the session is still open; nobody's interest never lasts.
-func (i *liveness) isLive() bool { return i != nil && !i.ended.Load() }
+// isLive reports whether the session is still open; it is false for nil, which stands for no session.
+func (l *liveness) isLive() bool { return l != nil && !l.ended.Load() }
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -7,7 +7,7 @@
 	"eiderway/control/feed"
 )
 
-// isPresent tells whether the replica of a placement is there by the table held, at the same address.
+// hasReplica reports whether the current table has the placement's replica at the same address.
 func (d *directory) hasReplica(placement placement) bool {
 	target := d.services[placement.route.TargetService]
 	if target == nil {
@@ -18,7 +18,8 @@
 	})
 }
 
-// mayBeginAt tells whether a read may be begun at the replica of a placement now: the last check before the bytes leave.
+// mayBeginAtReplica reports whether a read may begin at the placement's replica now. It is checked last before the
+// bytes are sent.
 func (d *directory) mayBeginAtReplica(now time.Duration, placement placement) bool {
 	target := d.services[placement.route.TargetService]
 	if target == nil || !d.hasLease(now) {
@@ -29,8 +30,8 @@
 	})
 }
 
-// mayBegin tells whether a first statement may be sent now under a placement made before: the last check before the
-// bytes leave.
+// mayBegin reports whether a first statement may be sent now under a placement made before. It is checked last before
+// the bytes are sent.
 func (d *directory) mayBegin(now time.Duration, placement placement) bool {
 	if !d.stillRouted(placement) {
 		return false
@@ -42,8 +43,8 @@
 	return d.isLeader(placement) && !target.Frozen && d.hasLease(now) && d.mayUseLeader(now, target)
 }
 
-// mayOpen tells whether the first read or write of a transaction that has begun may be sent now: what the transaction does is
-// begun with it.
+// mayOpen reports whether the first read or write of a begun transaction may be sent now. At a draining instance the
+// work of a transaction counts as begun with that statement, not with its BEGIN.
 func (d *directory) mayOpen(now time.Duration, placement placement) bool {
 	if placement.atReplica() {
 		return d.mayBeginAtReplica(now, placement)
@@ -51,12 +52,14 @@
 	return d.isLeader(placement) && d.mayUseLeader(now, d.services[placement.route.TargetService])
 }
 
-// mayUse tells whether the leader of a service is there, and hasn't drained for too long.
+// mayUseLeader reports whether the leader of a service is present and statements may still begin there if it is
+// draining.
 func (d *directory) mayUseLeader(now time.Duration, target *service) bool {
 	return target.address != "" && d.drains.MayBegin(now, target.leaderInstance)
 }
 
-// begunLate is by how much a statement that was sent under the placement at the time given is too late for an instance that drains.
+// lateness returns by how much a statement sent at sentAt missed the deadline of a draining instance; zero or less if
+// it was in time.
 func (d *directory) lateness(sentAt time.Duration, placement placement) time.Duration {
 	if placement.atReplica() {
 		return d.drains.Passed(sentAt, d.currentReplica(placement))
@@ -67,22 +70,22 @@
 	return d.drains.Passed(sentAt, d.services[placement.route.TargetService].leaderInstance)
 }
 
-// mayCommit tells whether a COMMIT may be sent now. While the service is frozen its open transactions may end: the
-// freeze isn't acknowledged before they have.
+// mayCommit reports whether a COMMIT may be sent now. Open transactions of a frozen service may end, since the freeze
+// isn't acknowledged before they have.
 func (d *directory) mayCommit(now time.Duration, placement placement) bool {
 	if placement.atReplica() {
-		return d.hasReplica(placement) // it has read, and keeps nothing
+		return d.hasReplica(placement) // it has only read, so the commit keeps nothing
 	}
 	return d.isLeader(placement) && d.hasLease(now)
 }
 
-// leads tells whether the instance of the placement leads its service by the table held.
+// isLeader reports whether the placement's leader still leads the service by the current table.
 func (d *directory) isLeader(placement placement) bool {
 	target := d.services[placement.route.TargetService]
 	return target != nil && sameLeader(placement.leader, target.Leader)
 }
 
-// goesOn tells whether a transaction that has begun may go on where it is.
+// mayContinue reports whether a transaction that has begun may continue where it is.
 func (d *directory) mayContinue(placement placement) bool {
 	if placement.atReplica() {
 		return d.hasReplica(placement)
@@ -90,7 +93,7 @@
 	return d.isLeader(placement)
 }
 
-// instanceOf is the replica of a placement as the table has it now, or as it was.
+// currentReplica returns the placement's replica as it is in the current table, or as it was when placed.
 func (d *directory) currentReplica(placement placement) feed.Instance {
 	if target := d.services[placement.route.TargetService]; target != nil {
 		for _, instance := range target.Instances {
@@ -102,8 +105,8 @@
 	return placement.replica
 }
 
-// conflicts tells whether what is under way at the instance of the placement must end before the table held is
-// acknowledged: the service is frozen, or something else leads it.
+// conflicts reports whether work in flight under the placement must end before the current table is acknowledged,
+// because the service is frozen or another instance leads it.
 func (d *directory) conflicts(placement placement) bool {
 	if placement.atReplica() {
 		return !d.hasReplica(placement)
@@ -112,18 +115,18 @@
 	return !d.isLeader(placement) || target.Frozen
 }
 
-// lasted tells whether the right to use the leader has lasted without a break since the placement was checked: the
-// lease still holds, had not run out meanwhile, and the leader is the same. The service may have been frozen since:
-// nothing is promoted before this gateway acknowledges the freeze, and it does that when nothing is under way there.
+// remainedValid reports whether the right to use the leader has lasted without a break since the placement was checked:
+// the lease holds and had not run out meanwhile, and the leader is the same. The service may have been frozen since: no
+// instance is promoted before this gateway acknowledges the freeze, which it does only when nothing is in flight there.
 func (d *directory) remainedValid(now time.Duration, placement placement) bool {
 	if placement.atReplica() {
-		return true // what it read is proven by the instance, whoever leads
+		return true // the replica itself proves what it read, whoever leads
 	}
 	return d.isLeader(placement) && d.hasLease(now) && d.leaseLapses == placement.leaseLapses
 }
 
-// checked is the placement as of now: its right is counted from here on.
-func (d *directory) renewed(placement placement) placement {
+// withCurrentLease returns the placement with its right counted from now on.
+func (d *directory) withCurrentLease(placement placement) placement {
 	placement.leaseLapses = d.leaseLapses
 	return placement
 }
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -47,8 +47,8 @@
 	return changes, nil
 }
 
-// newerContents reads the table's configuration if it is newer than the one held; nil if it isn't. A lower number is
-// never taken over: a process doesn't go back within its life.
+// newerConfiguration parses the table's configuration if it is newer than the current one; else it returns nil. A lower
+// number is never taken over: a process doesn't go back during its life.
 func (d *directory) newerConfiguration(table feed.Table) (*configuration.Contents, error) {
 	if table.ConfigurationNumber <= d.table.ConfigurationNumber {
 		return nil, nil
@@ -56,20 +56,20 @@
 	if table.Configuration == nil {
 		return nil, errNoConfiguration
 	}
-	order, err := configuration.Parse(table.Configuration)
+	parsed, err := configuration.Parse(table.Configuration)
 	if err != nil {
 		return nil, eris.Wrap(errInvalidConfiguration, err.Error())
 	}
-	return &order.Contents, nil
+	return &parsed.Contents, nil
 }
 
-// routesByDatabase gives each database name its route. Of several, which differ in their prefix, the one with the
-// shortest prefix takes it: a database name has no path.
+// routesByDatabase maps each database name to its route. Of several routes that differ in their path prefix, the one
+// with the shortest prefix wins, since a database name has no path.
 func routesByDatabase(routes []configuration.Route) map[string]configuration.Route {
 	byDatabase := make(map[string]configuration.Route, len(routes))
 	for _, route := range routes {
-		present, taken := byDatabase[route.Host]
-		if !taken || isPreferredPrefix(route.PathPrefix, present.PathPrefix) {
+		current, exists := byDatabase[route.Host]
+		if !exists || isPreferredPrefix(route.PathPrefix, current.PathPrefix) {
 			byDatabase[route.Host] = route
 		}
 	}
--- a/gateway/table_changes.go
+++ b/gateway/table_changes.go
@@ -7,51 +7,51 @@
 	"eiderway/control/feed"
 )
 
-// news is what a table changed, for what must be ended and for the log.
+// tableChanges describes what a new table changed, for the log and for what must be ended or replaced.
 type tableChanges struct {
-	hasNewTable         bool     // there is a newer table
+	hasNewTable         bool     // the table is newer
 	leaderChanged       []string // services whose leader changed, or that are gone
-	frozen              []string // services that are frozen now and were not
-	thawed              []string // services that were frozen
-	draining            []string // services whose leader drains and did not
-	vacant              []string // services whose leader is gone and wasn't, so that nothing can be sent
-	hasNewConfiguration bool     // there is a newer configuration
+	frozen              []string // services that are newly frozen
+	thawed              []string // services that aren't frozen any more
+	draining            []string // services whose leader has begun to drain
+	vacant              []string // services whose leader has gone, so that nothing can be sent to it
+	hasNewConfiguration bool     // the table has a newer configuration
 	tenants             []configuration.Tenant
 }
 
-func (n *tableChanges) compare(before, after map[string]*service) {
+func (c *tableChanges) compare(before, after map[string]*service) {
 	for name, old := range before {
-		present := after[name]
-		if present == nil || !sameLeader(old.Leader, present.Leader) {
-			n.leaderChanged = append(n.leaderChanged, name)
+		current := after[name]
+		if current == nil || !sameLeader(old.Leader, current.Leader) {
+			c.leaderChanged = append(c.leaderChanged, name)
 		}
-		if present != nil && old.Frozen && !present.Frozen {
-			n.thawed = append(n.thawed, name)
+		if current != nil && old.Frozen && !current.Frozen {
+			c.thawed = append(c.thawed, name)
 		}
-		if present != nil && old.address != "" && present.address == "" {
-			n.vacant = append(n.vacant, name)
+		if current != nil && old.address != "" && current.address == "" {
+			c.vacant = append(c.vacant, name)
 		}
 	}
-	for name, present := range after {
+	for name, current := range after {
 		old := before[name]
-		if present.Frozen && (old == nil || !old.Frozen) {
-			n.frozen = append(n.frozen, name)
+		if current.Frozen && (old == nil || !old.Frozen) {
+			c.frozen = append(c.frozen, name)
 		}
-		if present.leaderInstance.Draining && (old == nil || !old.leaderInstance.Draining) {
-			n.draining = append(n.draining, name)
+		if current.leaderInstance.Draining && (old == nil || !old.leaderInstance.Draining) {
+			c.draining = append(c.draining, name)
 		}
 	}
-	for _, names := range [][]string{n.leaderChanged, n.frozen, n.thawed, n.draining, n.vacant} {
+	for _, names := range [][]string{c.leaderChanged, c.frozen, c.thawed, c.draining, c.vacant} {
 		slices.Sort(names)
 	}
 }
 
-// ofServices tells whether a service has changed in a way that is worth a line in the log.
-func (n *tableChanges) affectServices() bool {
-	return len(n.leaderChanged)+len(n.frozen)+len(n.thawed)+len(n.draining)+len(n.vacant) > 0
+// affectServices reports whether a service has changed in a way that is logged.
+func (c *tableChanges) affectServices() bool {
+	return len(c.leaderChanged)+len(c.frozen)+len(c.thawed)+len(c.draining)+len(c.vacant) > 0
 }
 
-// sameLeader tells whether the leadership is the same. A term that wasn't known before doesn't change it.
+// sameLeader reports whether the leadership is the same. A term that becomes known doesn't change it.
 func sameLeader(a, b feed.Leader) bool {
 	return a.InstanceID == b.InstanceID && (a.Term == b.Term || a.Term == 0)
 }
--- a/gateway/tenants_test.go
+++ b/gateway/tenants_test.go
@@ -31,9 +31,9 @@
 func (env *testEnv) lastStatement(key, text string) ranStatement {
 	env.Helper()
 	asked := env.first.clientStatements()
-	for place := len(asked) - 1; place >= 0; place-- {
-		if strings.HasPrefix(asked[place].id, key) && asked[place].text == text {
-			return asked[place]
+	for index := len(asked) - 1; index >= 0; index-- {
+		if strings.HasPrefix(asked[index].id, key) && asked[index].text == text {
+			return asked[index]
 		}
 	}
 	env.Fatalf("%s of %s did not run", text, key)
--- a/gateway/terminate.go
+++ b/gateway/terminate.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// phase says how far the gateway has come on its way to its end.
+// phase is the progress of the gateway's shutdown.
 type phase = int32
 
 const (
-	// leaving: it says that it isn't ready, and serves on.
+	// unready: the gateway reports that it isn't ready, and continues to serve.
 	unready phase = iota + 1
-	// closingIdle: sessions that rest outside a transaction are closed.
+	// closingIdle: sessions that are idle outside a transaction are closed.
 	closingIdle
-	// endingTransactions: open transactions are rolled back.
+	// endingTransactions: idle transactions are rolled back.
 	endingTransactions
-	// ending: sessions are closed as soon as no statement is under way.
+	// closingAll: sessions are closed as soon as they have no statement in progress.
 	closingAll
 )
 
 const (
-	// noticeTime is how long the platform may go on handing new connections to a gateway that isn't ready: it asks
-	// every second and needs two answers, and asks a little late at times. Until then sessions aren't closed, or they
-	// would come back.
+	// unreadyTime is how long the platform may continue to send new connections to a gateway that isn't ready: it asks
+	// every second, needs two answers, and at times asks a little late. Sessions aren't closed before, since their
+	// clients would come back.
 	unreadyTime = 2300 * time.Millisecond
-	// endingPart is the part of the grace after which sessions are closed as soon as no statement is under way, and
-	// lastPart the part after which the process ends whatever is under way.
+	// closeAllPart is the part of the grace period after which sessions are closed as soon as they have no statement in
+	// progress, and stopPart the part after which the process ends whatever is in progress.
 	closeAllPart = 0.75
 	stopPart     = 0.9
-	// emptyEvery is how often it is checked whether the last session has ended.
+	// sessionPollInterval is how often it is checked whether the last session has ended.
 	sessionPollInterval = 50 * time.Millisecond
 )
 
-// at tells whether the gateway has come to the phase or beyond.
-func (g *Gateway) hasReached(least phase) bool { return g.phase.Load() >= least }
+// hasReached reports whether the gateway is in the phase or a later one.
+func (g *Gateway) hasReached(phase phase) bool { return g.phase.Load() >= phase }
 
-// terminate leads the gateway through its end, and returns when the last session has ended or the grace is almost over.
+// terminate shuts the gateway down in phases. It returns when the last session has ended or the grace period is almost
+// over.
 func (g *Gateway) terminate(ctx context.Context) {
 	grace := g.grace()
 	begun := g.elapsed()
 	g.phase.Store(unready)
-	g.log.Info("gateway ends")
-	notice := min(unreadyTime, grace/2)
-	pause(ctx, notice)
+	g.log.Info("gateway shutting down")
+	unreadyFor := min(unreadyTime, grace/2)
+	pause(ctx, unreadyFor)
 	g.enterPhase(closingIdle)
 	g.waitForSessions(ctx, begun+grace/2)
 	g.enterPhase(endingTransactions)
@@ -57,20 +58,20 @@
 	return g.settings.Bounds.Grace()
 }
 
-// enter moves on to a phase and wakes the sessions that rest, so that they see it.
+// enterPhase enters a phase and wakes the idle sessions, so that they see it.
 func (g *Gateway) enterPhase(next phase) {
 	g.phase.Store(next)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for resting := range g.clients {
-		resting.interruptWait()
+	for client := range g.clients {
+		client.interruptWait()
 	}
 }
 
-// longAgo as a deadline ends a read that waits.
+// pastDeadline ends a read that waits, if it is set as its deadline.
 var pastDeadline = time.Unix(1, 0)
 
-// untilEmpty waits until there is no client or the time has come.
+// waitForSessions waits until there is no client or the time has come.
 func (g *Gateway) waitForSessions(ctx context.Context, until time.Duration) {
 	for g.elapsed() < until && ctx.Err() == nil && g.sessionCount() > 0 {
 		pause(ctx, min(sessionPollInterval, until-g.elapsed()))
@@ -83,11 +84,11 @@
 	return len(g.clients)
 }
 
-// lastWait bounds the wait for sessions whose connections are closed.
+// finalWait bounds the wait for sessions whose connections are closed.
 const finalWait = 300 * time.Millisecond
 
-// cutClients closes what is left: the lease is given up, so that nothing more is started and no success is passed on,
-// and then the connections of clients and of what is under way at instances are closed.
+// closeClients closes the remaining sessions. The lease is given up first, so that nothing more is started and no
+// success is passed on; then the connections of in-flight statements and of clients are closed.
 func (g *Gateway) closeClients() {
 	g.phase.Store(closingAll)
 	g.mutex.Lock()
@@ -95,8 +96,8 @@
 	g.mutex.Unlock()
 	g.cutFlights(func(*flight) bool { return true })
 	g.mutex.Lock()
-	for left := range g.clients {
-		_ = left.conn.Close()
+	for client := range g.clients {
+		_ = client.conn.Close()
 	}
 	g.mutex.Unlock()
 	g.waitForSessions(context.Background(), g.elapsed()+finalWait)
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// watchWait is the longest that a controller may hold a question back when there is no news: each question costs
-	// both sides some work.
+	// watchWait is the longest that a controller may hold a watch when there is no news, since each watch costs both
+	// sides some work.
 	watchWait = 600 * time.Millisecond
-	// watchesInLease is how many questions that are held back fit into a lease. A lease counts from the sending of its
-	// question, so when it comes with the answer one such time is gone, and the next answer is another one away: three
-	// leave room for a slow one.
+	// watchesInLease is how many held watches fit into a lease. A lease counts from the sending of its watch, so one
+	// such time is over when it arrives with the answer, and the next answer comes another one later. The third leaves
+	// room for a slow answer.
 	watchesInLease = 3
-	// watchLeast is the shortest wait that is asked for, however short the leases are.
+	// minWatchWait is the shortest wait that is requested, however short the leases are.
 	minWatchWait = 50 * time.Millisecond
-	// watchSlack is added to it before a question is given up: a slow link and a busy machine.
+	// watchSlack is added to the wait before a watch is given up, for a slow link and a busy machine.
 	watchSlack = time.Second
-	// sleptAfter is how much later than asked for a question ends when this process stood still meanwhile: timers on a
-	// busy machine are late by less.
+	// standstillAfter is how much later than its limit a watch must end for this process to conclude that it stood
+	// still meanwhile. Timers on a busy machine are late by less.
 	standstillAfter = 500 * time.Millisecond
-	// interruptEvery is the least time between two questions that are overtaken for the sake of an urgent report.
+	// urgentInterval is the minimum time between two watches that are overtaken by an urgent report.
 	urgentInterval = 2 * time.Second
-	// freezeTime is how long open transactions and statements at a frozen leader may take to end by themselves before
-	// they are cut. Most statements take tens of milliseconds; every gateway's time counts, since the failover waits.
+	// freezeGrace is how long open transactions and statements at a frozen leader may take to end by themselves before
+	// they are cut. Most statements take tens of milliseconds, and the failover waits for every gateway.
 	freezeGrace = 300 * time.Millisecond
-	// goodbyeTime bounds the last word to the controller.
+	// leavingTimeout bounds the final request to the controller.
 	leavingTimeout = 300 * time.Millisecond
 )
 
-// follow asks the controllers for news until the context ends.
+// watchControllers watches the controllers for news until the context ends.
 func (g *Gateway) watchControllers(ctx context.Context) {
 	finder := newFinder(g.seeds())
 	for ctx.Err() == nil {
@@ -58,7 +58,7 @@
 	return g.settings.SeedRPCAddresses()
 }
 
-// question is one that was sent to a controller.
+// watchCall is a watch that was sent to a controller, with its result.
 type watchCall struct {
 	request feed.WatchRequest
 	sentAt  time.Duration
@@ -66,7 +66,7 @@
 	err     error
 }
 
-// ask asks one controller, and tells whether the next question may follow at once.
+// watchOnce watches one controller and reports whether the next watch may follow at once.
 func (g *Gateway) watchOnce(ctx context.Context, finder *finder) bool {
 	address := finder.next(g.elapsed())
 	if address == "" {
@@ -78,7 +78,7 @@
 	case err != nil && processStoodStill(g.elapsed()-call.sentAt, request.Wait+watchSlack):
 		g.reports.putBack(request.Reports)
 		g.logLostLease()
-		return true // which says nothing about the controller
+		return true // the failure says nothing about the controller
 	case err != nil:
 		g.reports.putBack(request.Reports)
 		finder.failed(g.elapsed(), address, isRefused(err))
@@ -98,8 +98,8 @@
 	return true
 }
 
-// askOne sends a question and waits for its answer. When there is something to report that can't wait, another question with it follows on the same
-// connection, and the first one, which the controller holds back, is overtaken by it.
+// watchAt sends a watch and waits for its answer. An urgent report is sent with a second watch on the same connection.
+// That one overtakes the first, which the controller holds.
 func (g *Gateway) watchAt(ctx context.Context, address string, relay bool) watchCall {
 	timeoutCtx, cancel := context.WithTimeout(ctx, watchWaitFor(g.leaseLength())+watchSlack)
 	defer cancel()
@@ -121,7 +121,7 @@
 	return second
 }
 
-// send sends a question in the background. One that may be held back is answered when there is news.
+// startWatch sends a watch in the background. If it may wait, the controller holds it until there is news.
 func (g *Gateway) startWatch(ctx context.Context, address string, relay, mayWait bool) <-chan watchCall {
 	done := make(chan watchCall, 1)
 	call := watchCall{request: g.watchRequest()}
@@ -143,19 +143,20 @@
 	return g.directory.leaseLength
 }
 
-// wasRefused tells whether nobody listens where the question was to go.
+// isRefused reports whether nobody listens at the address.
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// noteFailedQuestion remembers whom the gateway asked in vain, and why, for the line that says that its lease is lost.
+// recordFailedWatch remembers which controller didn't answer and why, for the log line about a lost lease.
 func (g *Gateway) recordFailedWatch(address string, err error) {
-	const most = 4 // of the last ones
+	const limit = 4 // the most recent ones
 	g.failedWatches = append(g.failedWatches, fmt.Sprintf("%.1fs %s: %v", g.elapsed().Seconds(), address, err))
-	if len(g.failedWatches) > most {
+	if len(g.failedWatches) > limit {
 		g.failedWatches = g.failedWatches[1:]
 	}
 }
 
-// stoodStill tells whether this process was stopped for a while during a question, since it took far longer than allowed.
+// processStoodStill reports whether this process was stopped during a call, which is when the call took far longer than
+// allowed.
 func processStoodStill(took, allowed time.Duration) bool { return took > allowed+standstillAfter }
 
 func (g *Gateway) watchRequest() feed.WatchRequest {
@@ -172,7 +173,7 @@
 	}
 }
 
-// watchFor is how long a controller may hold a question back under leases of this length.
+// watchWaitFor returns how long a controller may hold a watch under leases of this length.
 func watchWaitFor(lease time.Duration) time.Duration {
 	if lease <= 0 {
 		return watchWait
@@ -180,14 +181,14 @@
 	return min(watchWait, max(minWatchWait, lease/watchesInLease))
 }
 
-// apply takes over an answer. When it returns, nothing is under way any more that the table rules out, so the next
-// question may acknowledge it.
+// apply takes over an answer. When it returns, nothing that the new table rules out is in flight any more, so the next
+// watch may acknowledge the table.
 func (g *Gateway) apply(ctx context.Context, sentAt time.Duration, answer feed.WatchAnswer) bool {
 	g.mutex.Lock()
 	hadLease := g.directory.hasLease(g.elapsed())
 	changes, err := g.directory.apply(g.elapsed(), sentAt, answer)
 	if changes.hasNewConfiguration {
-		g.limiter.setTenants(changes.tenants) // before any of them is let in
+		g.limiter.setTenants(changes.tenants) // before any of them is admitted
 	}
 	close(g.directoryChanged)
 	g.directoryChanged = make(chan struct{})
@@ -198,8 +199,8 @@
 	}
 	g.mutex.Unlock()
 
-	for _, old := range unused {
-		old.close()
+	for _, pool := range unused {
+		pool.close()
 	}
 	g.logChanges(changes, err)
 	g.logAcquiredLease(hadLease, hasLease)
@@ -209,22 +210,22 @@
 
 func (g *Gateway) logChanges(changes tableChanges, err error) {
 	if err != nil {
-		g.log.WithError(err).Warn("table refused")
+		g.log.WithError(err).Warn("table rejected")
 		return
 	}
 	if changes.hasNewConfiguration {
-		g.log.WithField("number", g.configurationNumber()).Info("configuration taken over")
+		g.log.WithField("number", g.configurationNumber()).Info("configuration applied")
 	}
 	if changes.affectServices() {
-		g.log.WithFields(changes.fields()).Info("table taken over")
+		g.log.WithFields(changes.fields()).Info("table applied")
 	}
 }
 
-// fields are those of the log's line: only what has changed.
-func (n *tableChanges) fields() logrus.Fields {
+// fields returns the fields of the log line: only what has changed.
+func (c *tableChanges) fields() logrus.Fields {
 	fields := logrus.Fields{}
 	for name, services := range map[string][]string{
-		"moved": n.leaderChanged, "frozen": n.frozen, "thawed": n.thawed, "draining": n.draining, "vacant": n.vacant,
+		"moved": c.leaderChanged, "frozen": c.frozen, "thawed": c.thawed, "draining": c.draining, "vacant": c.vacant,
 	} {
 		if len(services) > 0 {
 			fields[name] = services
@@ -239,26 +240,26 @@
 	return g.directory.table.ConfigurationNumber
 }
 
-// clearConflicts ends what is under way at leaders that are frozen or replaced: after a short time in which it may end
-// by itself, its connections are cut. It returns when nothing is left.
+// clearConflicts ends what is in flight at leaders that are frozen or replaced. It may end by itself for a short time;
+// then its connections are cut. clearConflicts returns when nothing is left.
 func (g *Gateway) clearConflicts(ctx context.Context) {
 	if g.countConflicts() == 0 {
 		return
 	}
-	patience := time.NewTimer(freezeGrace)
-	defer patience.Stop()
+	timer := time.NewTimer(freezeGrace)
+	defer timer.Stop()
 	for g.countConflicts() > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-patience.C:
+		case <-timer.C:
 			g.cutConflicts()
 		case <-g.flightEnded:
 		}
 	}
 }
 
-// noticeLease writes a line when the lease has run out.
+// logLostLease logs that the lease has run out, once until it is acquired again.
 func (g *Gateway) logLostLease() {
 	g.mutex.Lock()
 	lost := g.directory.leaseUntil > 0 && !g.directory.hasLease(g.elapsed()) && !g.counters.isLeaseLossLogged
@@ -276,7 +277,7 @@
 		g.mutex.Lock()
 		g.counters.isLeaseLossLogged = false
 		g.mutex.Unlock()
-		g.log.Info("lease held")
+		g.log.Info("lease acquired")
 	}
 }
 
@@ -286,8 +287,8 @@
 	g.primary, g.primaryRelays = address, relay
 }
 
-// sayGoodbye tells the controller that this gateway has stopped, so that no failover waits for it. It is the last thing
-// said, and it is tried once.
+// announceLeaving tells the controller that this gateway has stopped, so that no failover waits for it. It is the
+// gateway's last request, and it isn't repeated.
 func (g *Gateway) announceLeaving() {
 	g.mutex.Lock()
 	address := g.primary
