--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -14,12 +14,12 @@
 	before := c.term.services
 	c.term.services = c.term.reader.Services(c.node)
 	c.noteInstances(before, c.term.services)
-	c.stepFailover(failover.World{Services: c.withDepartures(c.term.services)})
+	c.stepFailover(failover.CommittedState{Services: c.withDepartures(c.term.services)})
 }
 
 // withDepartures adds what a new term must know of instances that departed under an earlier one.
 func (c *Controller) withDepartures(services []failover.ServiceView) []failover.ServiceView {
-	if c.term.departuresTold || c.settings.Lacking.Lacks(guard.DeparturesTold) {
+	if c.term.departuresTold || c.settings.DisabledGuards.Lacks(guard.DeparturesTold) {
 		return services
 	}
 	c.term.departuresTold = true
@@ -43,13 +43,13 @@
 	}
 	for _, call := range effects.Calls {
 		call.Number = c.term.number(call.Number)
-		c.effects.Calls = append(c.effects.Calls, call)
+		c.effects.PlatformCalls = append(c.effects.PlatformCalls, call)
 	}
 	for _, event := range effects.Events {
 		c.event(event.What, event.Text)
 	}
-	if effects.Alive != "" {
-		c.term.registry.Heard(c.now, effects.Alive)
+	if effects.AliveInstanceID != "" {
+		c.term.registry.Heard(c.now, effects.AliveInstanceID)
 	}
 	for _, change := range effects.Changes {
 		c.queue(command{kind: changeFailover, change: change})
@@ -68,7 +68,7 @@
 	return number & (1<<numberBits - 1), number>>numberBits == uint64(t.epoch)
 }
 
-func (c *Controller) takeProbe(in Probed) {
+func (c *Controller) takeProbe(in ProbeFinished) {
 	if c.term == nil {
 		return
 	}
@@ -77,10 +77,10 @@
 		return
 	}
 	in.Result.Number = number
-	c.stepFailover(failover.Probed{Result: in.Result})
+	c.stepFailover(failover.ProbeEnded{Result: in.Result})
 }
 
-func (c *Controller) takePlatformCall(in PlatformCalled) {
+func (c *Controller) takePlatformCall(in PlatformCallFinished) {
 	if c.term == nil {
 		return
 	}
@@ -89,7 +89,7 @@
 		return // the intent is on the disks: this term finds out what became of it
 	}
 	in.Result.Number = number
-	c.stepFailover(failover.Called{Result: in.Result})
+	c.stepFailover(failover.CallEnded{Result: in.Result})
 }
 
 // reportCleared tells the failover of each freeze that no gateway works by an older table any more.
@@ -104,6 +104,6 @@
 		}
 		frozen.told = true
 		c.term.freezes[name] = frozen
-		c.stepFailover(failover.Cleared{Service: name, Freeze: frozen.number})
+		c.stepFailover(failover.FreezeCleared{Service: name, Freeze: frozen.number})
 	}
 }
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -29,13 +29,13 @@
 	refillNeeded chan struct{} // signals that the primary should be asked; holds one signal
 
 	mutex    sync.Mutex
-	grants   *quota.Purse
+	budget   *quota.Budget
 	changed  chan struct{} // closed and replaced when grants have arrived
 	refusals refusalCounts
 }
 
 func newLimiter(now func() time.Duration) *limiter {
-	return &limiter{now: now, refillNeeded: make(chan struct{}, 1), grants: quota.NewPurse(), changed: make(chan struct{}), refusals: refusalCounts{}}
+	return &limiter{now: now, refillNeeded: make(chan struct{}, 1), budget: quota.NewBudget(), changed: make(chan struct{}), refusals: refusalCounts{}}
 }
 
 // setTenants replaces the set of tenants that have a limit.
@@ -48,7 +48,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.grants.SetLimited(limited)
+	l.budget.SetLimitedTenants(limited)
 	l.refusals.foldUnlimited(limited)
 }
 
@@ -57,22 +57,22 @@
 func (l *limiter) admit(tenant string, until time.Duration) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	verdict := l.grants.Take(l.now(), tenant)
-	if verdict == quota.Short {
-		l.grants.Wait(tenant)
-		defer l.grants.Waited(tenant)
+	result := l.budget.Take(l.now(), tenant)
+	if result == quota.NeedsGrant {
+		l.budget.AddWaiter(tenant)
+		defer l.budget.RemoveWaiter(tenant)
 	}
-	if l.grants.Hungry(l.now(), tenant) {
+	if l.budget.ShouldRequest(l.now(), tenant) {
 		l.requestRefill()
 	}
-	for verdict == quota.Short && l.now() < until {
+	for result == quota.NeedsGrant && l.now() < until {
 		l.await(until)
-		verdict = l.grants.TakeAgain(l.now(), tenant)
+		result = l.budget.RetryTake(l.now(), tenant)
 	}
-	if verdict != quota.Taken {
+	if result != quota.Taken {
 		l.refusals[tenant]++
 	}
-	return verdict == quota.Taken
+	return result == quota.Taken
 }
 
 // refusedByTenant returns the number of refused operations by tenant.
@@ -106,14 +106,14 @@
 func (l *limiter) nextRequest() (quota.Request, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.grants.Next(l.now())
+	return l.budget.NextRequest(l.now())
 }
 
 // applyGrants adds what the primary granted and lets the waiting operations try again.
 func (l *limiter) applyGrants(answer quota.Answer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.grants.Granted(l.now(), answer)
+	l.budget.ApplyAnswer(l.now(), answer)
 	close(l.changed)
 	l.changed = make(chan struct{})
 	l.requestRefill() // others may have begun to wait meanwhile
@@ -122,7 +122,7 @@
 func (l *limiter) requestFailed() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.grants.Failed()
+	l.budget.RequestFailed()
 	l.requestRefill()
 }
 
--- a/simulation/plan.go
+++ b/simulation/plan.go
@@ -98,16 +98,16 @@
 func (p Plan) Settings() controller.Settings {
 	chosen := failover.DefaultSettings()
 	chosen.FenceChecked = p.FenceChecked
-	chosen.CallsPerS = callsPerS
+	chosen.CallsPerSecond = callsPerS
 	return controller.Settings{
-		Replication:  replication.Settings{Timing: replication.DefaultTiming()},
-		Failover:     chosen,
-		Lease:        tableLease,
-		LeaseMargin:  leaseMargin,
-		WatchWait:    watchWait,
-		InstanceLost: instanceLost,
-		CallWait:     answerWithin,
-		Quota:        p.Bounds.Quota,
-		Lacking:      p.Lacking,
+		Replication:     replication.Settings{Timing: replication.DefaultTiming()},
+		Failover:        chosen,
+		Lease:           tableLease,
+		LeaseMargin:     leaseMargin,
+		MaxWatchWait:    watchWait,
+		InstanceTimeout: instanceLost,
+		CallTimeout:     answerWithin,
+		Quota:           p.Bounds.Quota,
+		DisabledGuards:  p.Lacking,
 	}
 }
