--- a/control/controller/beats.go
+++ b/control/controller/beats.go
@@ -55,7 +55,7 @@
 	if c.term == nil {
 		return
 	}
-	transaction := state.NewTransaction(c.node).Lacking(c.settings.Lacking)
+	transaction := state.NewTransaction(c.node).Lacking(c.settings.DisabledGuards)
 	for _, note := range notes {
 		record, found := state.InstanceByID(c.node, note.InstanceID)
 		if !found {
@@ -67,7 +67,7 @@
 		case taken.Changed && len(c.term.commands) < commandsWaiting:
 			c.queue(command{kind: takeBeat, heartbeat: beat})
 		case taken.Fresh:
-			c.stepFailover(failover.Heard{
+			c.stepFailover(failover.Heartbeat{
 				InstanceID: beat.InstanceID,
 				Service:    beat.TargetService,
 				Primary:    beat.DBRole == registry.Primary,
--- a/control/controller/watches.go
+++ b/control/controller/watches.go
@@ -10,7 +10,7 @@
 
 // watch is a gateway's question that waits for news or for its end.
 type watch struct {
-	call    Call
+	call    CallID
 	request feed.WatchRequest
 	until   time.Duration
 	gone    bool // the gateway waits no more
@@ -27,7 +27,7 @@
 	}
 	c.term.grants.ask(in.Request)
 	for _, report := range in.Request.Reports {
-		c.stepFailover(failover.Reported{Gateway: in.Request.Gateway, Report: report})
+		c.stepFailover(failover.GatewayReport{Gateway: in.Request.Gateway, Report: report})
 	}
 	if in.Request.Leaving {
 		c.effects.WatchReplies = append(c.effects.WatchReplies, WatchReply{Call: in.Call})
@@ -37,7 +37,7 @@
 		c.refuseWatch(in.Call) // it has been served in a later epoch, so this one is over
 		return
 	}
-	wait := min(max(in.Request.Wait, 0), c.settings.WatchWait)
+	wait := min(max(in.Request.Wait, 0), c.settings.MaxWatchWait)
 	c.dropOlderWatch(in.Request.Gateway)
 	c.term.watches = append(c.term.watches, &watch{call: in.Call, request: in.Request, until: c.now + wait})
 }
@@ -54,7 +54,7 @@
 }
 
 // abandon forgets a caller who has gone.
-func (c *Controller) abandon(call Call) {
+func (c *Controller) abandon(call CallID) {
 	c.calls.drop(call)
 	if c.term == nil {
 		return
@@ -103,7 +103,7 @@
 		Primary: c.self,
 		Members: c.term.table.members,
 		Lease:   c.settings.Lease,
-		Drains:  c.term.failover.Drains(c.now),
+		Drains:  c.term.failover.DrainLimits(c.now),
 	}
 	if watch.request.Applied.Less(c.term.table.version) {
 		answer.Table = c.term.table.forGateway(watch.request)
@@ -119,7 +119,7 @@
 }
 
 // refuseWatch says who leads, as far as this controller knows. It gives no lease.
-func (c *Controller) refuseWatch(call Call) {
+func (c *Controller) refuseWatch(call CallID) {
 	answer := feed.WatchAnswer{NotPrimary: true, Members: c.node.View().Voters}
 	if primary, known := c.node.PrimaryMember(); known {
 		answer.Primary = primary
--- a/gateway/directory.go
+++ b/gateway/directory.go
@@ -10,21 +10,21 @@
 	"eiderway/control/feed"
 )
 
-// directory is what the gateway works by: the newest table that it has taken over, the configuration in it, and the
-// lease. It decides where a statement may go and whether an answer may still be passed on. It does no I/O and knows
-// no clock: now is the steady time.
+// directory holds the state that placements depend on: the newest table that the gateway has applied, the configuration
+// in it, and the lease. It decides where a statement may go and whether an answer may still be passed on. It does no
+// I/O and has no clock: now is the monotonic time since the start.
 type directory struct {
-	table      feed.Table
-	digest     uint64 // of its services
-	wantsWhole bool   // changes that came don't follow on the table held
-	limits     configuration.Limits
-	routes     map[string]configuration.Route // by database name
-	services   map[string]*service
-	most       map[string]int // connections that the configuration allows at an instance, by service
-	lease      time.Duration  // the length of the newest one
-	leaseUntil time.Duration
-	lapses     uint64 // how often the lease had run out when it was renewed
-	drains     *feed.DrainDeadlines
+	table          feed.Table
+	servicesDigest uint64 // digest of the table's services
+	needsFullTable bool   // the last changes received don't follow on the current table
+	limits         configuration.Limits
+	routes         map[string]configuration.Route // by database name
+	services       map[string]*service
+	maxConnections map[string]int // per instance by the configuration, by service
+	leaseLength    time.Duration  // of the newest lease
+	leaseUntil     time.Duration
+	leaseLapses    uint64 // how often the lease had run out when it was renewed
+	drains         *feed.DrainDeadlines
 
 	access access.Table
 	keys   access.Trust
@@ -35,13 +35,13 @@
 	feed.Service
 	maxConnections int
 	address        string        // of the leader; "" if it isn't among the instances
-	leading        feed.Instance // with an address
+	leaderInstance feed.Instance // the zero value if it isn't among the instances
 }
 
 var (
-	errOlderTable    = eris.New("a table older than the one held")
-	errMissing       = eris.New("a table without a configuration that isn't held")
-	errConfiguration = eris.New("a configuration that can't be read")
+	errOlderTable           = eris.New("the table is older than the current one")
+	errNoConfiguration      = eris.New("the table lacks its configuration, which is newer than the current one")
+	errInvalidConfiguration = eris.New("the configuration in the table is invalid")
 )
 
 func newDirectory() *directory {
@@ -52,43 +52,45 @@
 	}
 }
 
-// applied is the version that the controllers are told: what they send is what has changed since.
+// applied returns the version that the gateway reports to the controllers, which send what has changed since. The zero
+// version asks for the full table.
 func (d *directory) applied() feed.Version {
-	if d.wantsWhole {
+	if d.needsFullTable {
 		return feed.Version{}
 	}
 	return d.table.Version
 }
 
-// take takes over an answer to a question that was sent at sentAt. After an error nothing has changed.
-func (d *directory) take(now, sentAt time.Duration, answer feed.WatchAnswer) (news, error) {
-	var changes news
+// apply takes over the answer to a request that was sent at sentAt. If it returns an error, nothing has changed except
+// perhaps that a full table is needed.
+func (d *directory) apply(now, sentAt time.Duration, answer feed.WatchAnswer) (tableChanges, error) {
+	var changes tableChanges
 	if answer.Table != nil {
-		taken, err := d.takeTable(*answer.Table)
+		taken, err := d.applyTable(*answer.Table)
 		if err != nil {
-			return news{}, err
+			return tableChanges{}, err
 		}
 		changes = taken
 	}
 	d.keys.HeardAt = max(d.keys.HeardAt, sentAt)
 	d.drains.Take(sentAt, answer.Drains)
-	d.renew(now, sentAt, answer.Lease)
+	d.renewLease(now, sentAt, answer.Lease)
 	return changes, nil
 }
 
-// renew takes over a lease. The controller counts a lease from its own answer at the latest, so time that passed
-// between the end of the old one and now isn't covered, even if the new one reaches back there.
-func (d *directory) renew(now, sentAt, lease time.Duration) {
-	d.lease = lease
+// renewLease takes over a lease. The controller counts a lease from its own answer at the latest, so the time between
+// the end of the old lease and now isn't covered, even if the new one reaches back there.
+func (d *directory) renewLease(now, sentAt, lease time.Duration) {
+	d.leaseLength = lease
 	until := sentAt + lease
 	if lease <= 0 || until <= d.leaseUntil {
 		return
 	}
-	if !d.leased(now) {
-		d.lapses++
+	if !d.hasLease(now) {
+		d.leaseLapses++
 	}
 	d.leaseUntil = until
 }
 
-// leased tells whether the lease holds.
-func (d *directory) leased(now time.Duration) bool { return now < d.leaseUntil }
+// hasLease reports whether the lease holds.
+func (d *directory) hasLease(now time.Duration) bool { return now < d.leaseUntil }
--- a/gateway/measure_test.go
+++ b/gateway/measure_test.go
@@ -14,45 +14,45 @@
 	"eiderway/wire"
 )
 
-var measure = flag.Bool("measure", false, "measure at full length; otherwise a tiny form of each measurement is run")
+var fullMeasurement = flag.Bool("measure", false, "measure at full length; otherwise each measurement runs with a few samples")
 
-// lengthOf is the length of a measurement: the full one with -measure.
-func lengthOf(tiny, full int) int {
-	if *measure {
+// sampleCount returns the full count with -measure, else the tiny one.
+func sampleCount(tiny, full int) int {
+	if *fullMeasurement {
 		return full
 	}
 	return tiny
 }
 
-// statementCost is what statements that were sent one at a time took.
+// statementCost holds what statements sent one at a time cost.
 type statementCost struct {
-	latencies []time.Duration // in rising order
-	processor time.Duration   // of the whole test process, for each statement
+	latencies []time.Duration // ascending
+	cpu       time.Duration   // of the whole test process, per statement
 }
 
-// share is the latency that the given share of the statements stayed within.
-func (c statementCost) share(of float64) time.Duration {
-	return c.latencies[int(of*float64(len(c.latencies)-1))]
+// percentile returns the latency that the given share of the statements didn't exceed.
+func (c statementCost) percentile(share float64) time.Duration {
+	return c.latencies[int(share*float64(len(c.latencies)-1))]
 }
 
-func measureStatements(t *testing.T, client *tenant, text, want string, count int) statementCost {
+func measureStatements(t *testing.T, client *testClient, text, want string, count int) statementCost {
 	t.Helper()
-	_ = client.network.SetDeadline(time.Now().Add(2 * time.Minute))
-	client.must(text, want) // its connection to the instance is made before
+	_ = client.conn.SetDeadline(time.Now().Add(2 * time.Minute))
+	client.expect(text, want) // opens the gateway's connection to the instance beforehand
 	cost := statementCost{latencies: make([]time.Duration, 0, count)}
-	before := processorTime(t)
+	before := cpuTime(t)
 	for range count {
 		start := time.Now()
-		client.must(text, want)
+		client.expect(text, want)
 		cost.latencies = append(cost.latencies, time.Since(start))
 	}
-	cost.processor = (processorTime(t) - before) / time.Duration(count)
+	cost.cpu = (cpuTime(t) - before) / time.Duration(count)
 	slices.Sort(cost.latencies)
 	return cost
 }
 
-// processorTime is what this process has used so far.
-func processorTime(t *testing.T) time.Duration {
+// cpuTime returns the CPU time that this process has used so far.
+func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -61,59 +61,60 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// connectStraight opens a session at an instance, with no gateway between.
-func (w *world) connectStraight(to *standinInstance, name string) *tenant {
-	w.Helper()
-	network, err := net.Dial("tcp4", to.address())
+// connectDirectly opens a session at an instance without the gateway.
+func (e *testEnv) connectDirectly(to *fakeInstance, name string) *testClient {
+	e.Helper()
+	conn, err := net.Dial("tcp4", to.address())
 	if err != nil {
-		w.Fatal(err)
+		e.Fatal(err)
 	}
-	w.Cleanup(func() { network.Close() })
-	opened := &tenant{T: w.T, network: network, reader: wire.NewReader(network), name: name}
-	opened.send("CONNECT orders " + name + " " + to.id)
-	if _, err := opened.reader.ReadLine(); err != nil {
-		w.Fatal(err)
+	e.Cleanup(func() { conn.Close() })
+	client := &testClient{T: e.T, conn: conn, reader: wire.NewReader(conn), name: name}
+	client.send("CONNECT orders " + name + " " + to.id)
+	if _, err := client.reader.ReadLine(); err != nil {
+		e.Fatal(err)
 	}
-	return opened
+	return client
 }
 
-// TestMeasureStatements measures what a gateway adds to a statement: the same ones go straight to an instance, and through the gateway.
+// TestMeasureStatements measures what a gateway adds to a statement by sending the same statements directly to an
+// instance and through the gateway.
 func TestMeasureStatements(t *testing.T) {
 	is := is.New(t)
-	w := startReading(t)
-	count := lengthOf(100, 20_000)
+	env := startEnvWithReadRoutes(t)
+	count := sampleCount(100, 20_000)
 	for _, measured := range []struct{ name, database, text, want string }{
 		{"write", "shop", "PUT a x", "COMPLETE stamp / I"},
 		{"read that must see all", "shop", "FETCH a", `COMPLETE stamp ["x"] / I`},
 		{"read that may be old, at a replica", "browse", "FETCH b", `COMPLETE stamp [""] / I`},
 	} {
-		straight := measureStatements(t, w.connectStraight(w.first, "d"), measured.text, measured.want, count)
-		through := measureStatements(t, w.connectTo(measured.database, "g"), measured.text, measured.want, count)
-		t.Logf("%s: straight p50 %v p99 %v, processor %v; through p50 %v p99 %v, processor %v; added p50 %v p99 %v, processor %v",
-			measured.name, straight.share(0.5), straight.share(0.99), straight.processor,
-			through.share(0.5), through.share(0.99), through.processor,
-			through.share(0.5)-straight.share(0.5), through.share(0.99)-straight.share(0.99), through.processor-straight.processor)
+		direct := measureStatements(t, env.connectDirectly(env.first, "d"), measured.text, measured.want, count)
+		through := measureStatements(t, env.connectTo(measured.database, "g"), measured.text, measured.want, count)
+		t.Logf("%s: direct p50 %v p99 %v, CPU %v; through the gateway p50 %v p99 %v, CPU %v; added p50 %v p99 %v, CPU %v",
+			measured.name, direct.percentile(0.5), direct.percentile(0.99), direct.cpu,
+			through.percentile(0.5), through.percentile(0.99), through.cpu,
+			through.percentile(0.5)-direct.percentile(0.5), through.percentile(0.99)-direct.percentile(0.99), through.cpu-direct.cpu)
 	}
-	is.Equal(len(w.second.asked()), count+1) // what may be old was read at the replica
+	is.Equal(len(env.second.clientStatements()), count+1) // stale reads went to the replica
 }
 
-// TestMeasureSleepingSessions measures the memory of sessions that ask nothing, with their clients' ends.
-func TestMeasureSleepingSessions(t *testing.T) {
+// TestMeasureIdleSessions measures the memory of idle sessions, including their clients' ends of the connections.
+func TestMeasureIdleSessions(t *testing.T) {
 	is := is.New(t)
-	w := startWorld(t)
-	count := lengthOf(50, 4_000)
+	env := startEnv(t)
+	count := sampleCount(50, 4_000)
 	before := memoryInUse()
-	sessions := make([]*tenant, 0, count)
+	sessions := make([]*testClient, 0, count)
 	for range count {
-		sessions = append(sessions, w.connect("s"))
+		sessions = append(sessions, env.connect("s"))
 	}
 	after := memoryInUse()
 	t.Logf("%d sessions: %d bytes each, %d MB in all", count, (after-before)/int64(count), after>>20)
-	sessions[count-1].must("PUT a x", "COMPLETE stamp / I")
-	is.Equal(len(w.first.asked()), 1)
+	sessions[count-1].expect("PUT a x", "COMPLETE stamp / I")
+	is.Equal(len(env.first.clientStatements()), 1)
 }
 
-// memoryInUse is what is held after a collection: the heap and the stacks.
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() int64 {
 	runtime.GC()
 	var held runtime.MemStats
