--- a/control/controller/calls.go
+++ b/control/controller/calls.go
@@ -61,14 +61,14 @@
 func (c *Controller) redirect(call CallID) {
 	primary, known := c.node.PrimaryMember()
 	if !known || primary.Incarnation == c.self.Incarnation {
-		c.unavailable(call)
+		c.replyUnavailable(call)
 		return
 	}
 	c.reply(Reply{Call: call, Status: http.StatusTemporaryRedirect, Redirect: primary.Control})
 }
 
-// unavailable answers that this controller can't decide the call now. A change that the call asked for may still take effect.
-func (c *Controller) unavailable(call CallID) {
+// replyUnavailable answers 503: this controller can't decide the call now. A change that the call asked for may still take effect.
+func (c *Controller) replyUnavailable(call CallID) {
 	c.reply(Reply{Call: call, Status: http.StatusServiceUnavailable, Body: errorBody("not settled here; ask again")})
 }
 
--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -31,10 +31,10 @@
 	replaceConfiguration commandKind = iota
 	recordHeartbeat
 	markInstanceLeft
-	expireInstances
-	changeFailover
-	giveUpCopies
-	drainRestoredInstances
+	expireInstances        // declares instances lost that have been silent for too long
+	changeFailover         // records what the failover manager has decided
+	giveUpCopies           // gives up the commits that only the lost copies of a service may hold
+	drainRestoredInstances // marks all instances of a state that was restored from a dump as draining
 )
 
 // command may change the control state. The primary applies commands in the order of their arrival.
@@ -102,7 +102,7 @@
 		c.dropClosedCommands()
 	}
 	if len(c.term.commands) >= maxQueuedCommands {
-		c.unavailable(command.call)
+		c.replyUnavailable(command.call)
 		return
 	}
 	c.enqueue(command)
@@ -281,7 +281,7 @@
 		c.stepFailover(failover.ChangeDecided{Request: command.change.Request})
 		return
 	}
-	c.unavailable(command.call)
+	c.replyUnavailable(command.call)
 }
 
 // finishCommand finishes a command whose change is committed, or that needed none.
@@ -308,7 +308,7 @@
 func (c *Controller) finishHeartbeat(command command) {
 	heartbeat := command.heartbeat
 	if heartbeat.OperState == registry.Draining && !c.isDrainCommitted(heartbeat.InstanceID) {
-		c.unavailable(command.call)
+		c.replyUnavailable(command.call)
 		return
 	}
 	c.reply(Reply{Call: command.call, Status: http.StatusOK, Body: heartbeatReplyBody(c.heartbeatTarget(heartbeat))})
--- a/control/controller/confirmations.go
+++ b/control/controller/confirmations.go
@@ -102,7 +102,7 @@
 func (c *Controller) answerFetch(call CallID) {
 	_, body, found := state.Configuration(c.node)
 	if !found {
-		c.unavailable(call) // not a 4xx, which would keep the caller from retrying: the first configuration may be on its way
+		c.replyUnavailable(call) // not a 4xx, which would keep the caller from retrying: the first configuration may be on its way
 		return
 	}
 	c.reply(Reply{Call: call, Status: http.StatusOK, Body: body})
@@ -121,6 +121,6 @@
 	case pending.command != nil:
 		c.failCommand(*pending.command)
 	default:
-		c.unavailable(pending.fetch)
+		c.replyUnavailable(pending.fetch)
 	}
 }
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -4,7 +4,8 @@
 // It has no I/O, clocks or goroutines: a host passes in events with their times, and carries out the effects. The
 // primary alone decides what changes the control state, one batch of commands at a time, and each batch is one
 // replicated change. No request is answered from the control state before a majority has confirmed, after the request
-// came, that this controller is still primary. Plain heartbeats and grants of operations rest on a recent confirmation.
+// came, that this controller is still primary. The exceptions are plain heartbeats, which a backup may acknowledge too,
+// and grants of operations, for which a recent confirmation is enough.
 package controller
 
 import (
@@ -32,7 +33,7 @@
 
 	heartbeatsToForward []replication.ForwardedHeartbeat // accepted as a backup, for the next message to the primary
 	guards              disabledGuards
-	terminating         bool
+	isTerminating       bool
 	effects             Effects
 
 	brokenInvariants uint64       // since the start
@@ -83,7 +84,7 @@
 	c.effects = Effects{}
 	c.handle(input)
 	c.runPending()
-	c.effects.CanExit = c.terminating && c.node.HasLeft() && c.calls.isEmpty()
+	c.effects.CanExit = c.isTerminating && c.node.HasLeft() && c.calls.isEmpty()
 	return c.effects
 }
 
@@ -106,7 +107,7 @@
 	case SeedsChanged:
 		c.stepNode(replication.SeedsChanged{Seeds: in.Seeds})
 	case Terminate:
-		c.terminating = true
+		c.isTerminating = true
 		c.stepNode(replication.Leave{})
 	case ReplaceConfiguration:
 		c.handleReplaceConfiguration(in)
@@ -217,7 +218,7 @@
 func (c *Controller) checkTimers() {
 	overdue := c.calls.takeOverdue(c.now)
 	for _, call := range overdue {
-		c.unavailable(call)
+		c.replyUnavailable(call)
 	}
 	if c.term == nil {
 		return
@@ -267,7 +268,13 @@
 
 // Status returns the current status.
 func (c *Controller) Status() Status {
-	status := Status{Role: c.node.Role(), View: c.node.View(), Stamp: c.node.Stamp(), BrokenInvariants: c.brokenInvariants, Operations: c.operations}
+	status := Status{
+		Role:             c.node.Role(),
+		View:             c.node.View(),
+		Stamp:            c.node.Stamp(),
+		BrokenInvariants: c.brokenInvariants,
+		Operations:       c.operations,
+	}
 	if c.term != nil {
 		status.Operations = c.operations.Plus(c.term.allocator.Counts())
 		status.ConfigurationNumber = c.term.table.configurationNumber
--- a/control/controller/operations_test.go
+++ b/control/controller/operations_test.go
@@ -22,7 +22,8 @@
 	primary := d.primary()
 	text := bytes.Replace(configurationBody(1, "d"), []byte(`"serviceTable"`),
 		[]byte(`"tenantTable":[{"name":"bakers","apiKeys":["flour"],"ratePerS":1000,"burstSize":1000}],"serviceTable"`), 1)
-	call := d.sendCall(&testCall{to: primary, number: 1, content: "d"}, func(c CallID) Input { return ReplaceConfiguration{Call: c, Body: text} })
+	call := d.sendCall(&testCall{to: primary, number: 1, content: "d"},
+		func(c CallID) Input { return ReplaceConfiguration{Call: c, Body: text} })
 	d.run(2 * time.Second)
 	if call.outcome() != "200" {
 		t.Fatalf("the configuration is answered %s", call.outcome())
@@ -110,7 +111,8 @@
 		d, old := newDeploymentWithTenants(t, seed, disabledGuards{allocatorOpensAtOnce: true})
 		d.kill(old)
 		is.True(d.runUntil(maxWait, func() bool { return d.primary() != nil }))
-		if opensAt := d.now + maxGrantConfirmationAge; d.runUntil(maxGrantConfirmationAge, func() bool { return d.grantsNow(d.primary()) }) && d.now < opensAt {
+		if opensAt := d.now + maxGrantConfirmationAge; d.runUntil(maxGrantConfirmationAge,
+			func() bool { return d.grantsNow(d.primary()) }) && d.now < opensAt {
 			early++
 		}
 	}
--- a/control/controller/random_faults_test.go
+++ b/control/controller/random_faults_test.go
@@ -208,7 +208,8 @@
 	}
 	for _, gateway := range d.gateways {
 		if d.now >= gateway.leaseUntil || gateway.configurationNumber < d.acknowledged.newest {
-			d.fail("%s has a lease until %s and configuration %d of %d", gateway.name, gateway.leaseUntil, gateway.configurationNumber, d.acknowledged.newest)
+			d.fail("%s has a lease until %s and configuration %d of %d", gateway.name, gateway.leaseUntil,
+				gateway.configurationNumber, d.acknowledged.newest)
 		}
 	}
 }
--- a/control/controller/table.go
+++ b/control/controller/table.go
@@ -26,7 +26,7 @@
 	deltas    map[uint64]*feed.Table // the changes since a sequence, by sequence; reset with each version
 	createdAt time.Duration          // when this version was made
 
-	isPostponed bool // later changes can wait until minPublishInterval is over
+	isPostponed bool // the changes since this version only add instances, and wait until minPublishInterval is over
 }
 
 // minPublishInterval is the least time between two versions of the table if the later one only adds instances. When a fleet starts,
