--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -214,10 +214,10 @@
 		return
 	}
 	if changes.hasNewConfiguration {
-		g.log.WithField("number", g.configurationNumber()).Info("configuration applied")
+		g.log.WithField("number", g.configurationNumber()).Info("configuration taken over")
 	}
 	if changes.affectServices() {
-		g.log.WithFields(changes.fields()).Info("table applied")
+		g.log.WithFields(changes.fields()).Info("table taken over")
 	}
 }
 
--- a/systemtest/keys_test.go
+++ b/systemtest/keys_test.go
@@ -75,7 +75,7 @@
 	w.awaitOrders("after the look at its state")
 	answers.holdNoKey(t)
 	w.conclude() // looks into the logs, too
-	is.True(w.logged("configuration applied") > 0)
+	is.True(w.logged("configuration taken over") > 0)
 }
 
 // badTenants are tables that are refused, by what is wrong with them.
