--- a/cmd/eidersystem/demo_tenants.go
+++ b/cmd/eidersystem/demo_tenants.go
@@ -44,7 +44,7 @@
 func (d *demo) showTenants(ctx context.Context) error {
 	front := d.fronts()[0]
 	_, err := wire.Dial(ctx, front, demoDatabase, "nobodys-key", "")
-	var refused *wire.Refused
+	var refused *wire.RefusedError
 	if !errors.As(err, &refused) || refused.Code != wire.AuthFail {
 		return errors.Join(errDemoTenants, err)
 	}
--- a/gateway/access_test.go
+++ b/gateway/access_test.go
@@ -214,7 +214,7 @@
 	is.True(directory.stillAdmits(time.Hour, placement))
 	_, reason = directory.placeForKey(time.Second, "shop", access.NewKey("stranger"))
 	is.Equal(reason, keyRejected)
-	is.Equal(wire.AuthFail.Promise(), false)
+	is.Equal(wire.AuthFail.PromisesNoEffect(), false)
 }
 
 // ROUTE: sessions stayed open after a statement of theirs had been refused because of its unknown key.
--- a/gateway/client.go
+++ b/gateway/client.go
@@ -139,7 +139,7 @@
 		return false
 	}
 	c.database = connect.Database
-	c.key = access.NewKey(connect.Who)
+	c.key = access.NewKey(connect.User)
 	if c.gateway.rejectsKey(c.database, c.key) {
 		c.gateway.counters.keyRejected.Add(1)
 		c.write(wire.AppendError(c.buffer[:0], wire.AuthFail, ""))
@@ -207,7 +207,7 @@
 
 // endIdleTransaction rolls back a transaction that waits for its client.
 func (c *client) endIdleTransaction() {
-	c.session.RolledBack()
+	c.session.HandleRollback()
 	c.rollBackTransaction()
 	c.gateway.counters.idleTransactions.Add(1)
 }
@@ -270,7 +270,7 @@
 		request, err = wire.ParseRequest(line)
 	}
 	switch {
-	case err != nil || request.ID == wire.OwnID:
+	case err != nil || request.ID == wire.InternalID:
 		c.handleCutTransaction()
 		answer = c.refuseMalformed()
 	case request.Quit:
@@ -284,7 +284,7 @@
 }
 
 func (c *client) refuseMalformed() wire.Answer {
-	decision := c.session.Malformed()
+	decision := c.session.HandleMalformed()
 	if decision.Rollback {
 		c.rollBackTransaction()
 	}
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -26,14 +26,14 @@
 // runQuery answers one QUERY.
 func (c *client) runQuery(id, text string) wire.Answer {
 	c.handleCutTransaction()
-	decision := c.session.Take(text)
+	decision := c.session.HandleQuery(text)
 	switch {
 	case decision.Local:
 		if decision.Rollback {
 			c.rollBackTransaction()
 		}
 		return decision.Answer
-	case decision.First:
+	case decision.NeedsConnection:
 		return c.serveFirst(id, decision.Statement)
 	}
 	return c.serveInTransaction(id, decision.Statement)
@@ -45,7 +45,7 @@
 	receivedAt := c.gateway.elapsed()
 	c.chargedTenant = ""
 	if tenant, until := c.gateway.limitedTenant(c.database, c.key, receivedAt); !c.charge(tenant, until) {
-		return c.session.Ended(statement, notRun(overLimit)).Answer
+		return c.session.HandleOutcome(statement, notRun(overLimit)).Answer
 	}
 	if statement.ReadOnly {
 		if answer, done := c.serveAtReplica(id, statement, receivedAt); done {
@@ -68,7 +68,7 @@
 		startedAt := c.gateway.elapsed()
 		outcome := c.runFirst(id, statement, flight, receivedAt)
 		c.gateway.recordReplicaResult(flight, outcome, c.gateway.elapsed()-startedAt)
-		verdict := c.session.Ended(statement, outcome)
+		verdict := c.session.HandleOutcome(statement, outcome)
 		c.settle(flight, verdict)
 		if !mayRunElsewhere(outcome) || c.gateway.elapsed() >= receivedAt+maxPlacementWait(flight.placement) {
 			return verdict.Answer, true
@@ -86,7 +86,7 @@
 	if outcome.Kind != session.Answered {
 		return outcome.Kind != session.TimedOut
 	}
-	return outcome.Answer.Code.Promise() && outcome.Answer.State == wire.Idle
+	return outcome.Answer.Code.PromisesNoEffect() && outcome.Answer.State == wire.Idle
 }
 
 // serveAtLeader runs a statement at the leader. If it was not run, it is tried again on another connection while the
@@ -101,10 +101,10 @@
 			return wire.Refusal(wire.AuthFail, "", wire.Idle)
 		}
 		if reason != notRefused {
-			return c.session.Ended(statement, notRun(string(reason))).Answer
+			return c.session.HandleOutcome(statement, notRun(string(reason))).Answer
 		}
 		outcome := c.runFirst(id, statement, flight, receivedAt)
-		verdict := c.session.Ended(statement, outcome)
+		verdict := c.session.HandleOutcome(statement, outcome)
 		c.recordCommit(statement, verdict.Answer)
 		c.settle(flight, verdict)
 		if !isRetryable(outcome) || attempt >= flight.placement.route.MaxAttempts {
@@ -210,7 +210,7 @@
 		deadline := time.Now().Add(timeoutOf(flight.placement))
 		outcome = c.run(id, statement, flight, deadline)
 	}
-	verdict := c.session.Ended(statement, outcome)
+	verdict := c.session.HandleOutcome(statement, outcome)
 	c.recordCommit(statement, verdict.Answer)
 	c.settle(flight, verdict)
 	return verdict.Answer
@@ -231,35 +231,35 @@
 // run brings the connection into the state that the session needs and runs the statement on it.
 func (c *client) run(id string, statement session.Statement, flight *flight, deadline time.Time) session.Outcome {
 	backend := flight.backend
-	inTransaction := c.session.Attached()
-	steps := c.session.Steps(backend.state, statement)
+	inTransaction := c.session.HasOpenTransaction()
+	steps := c.session.SetupSteps(backend.state, statement)
 	if len(steps) > 0 && !c.maySend(statement, flight) {
 		return leaderUnusable()
 	}
 	for _, step := range steps {
-		answer, err := backend.conn.QueryBy(deadline, wire.OwnID, step.Text)
+		answer, err := backend.conn.QueryUntil(deadline, wire.InternalID, step.Text)
 		if err != nil {
 			c.gateway.reportLeaderFailure(flight)
 			return notRun("the backend connection broke")
 		}
 		if answer.Code != "" {
 			if answer.Code != wire.Busy {
-				backend.state.Distrust()
+				backend.state.MarkUnknown()
 			}
 			return stepRefused(answer, inTransaction)
 		}
-		backend.state.Done(step, inTransaction)
+		backend.state.RecordStep(step, inTransaction)
 	}
-	if statement.Class == session.Commit && !backend.conn.Usable() {
+	if statement.Class == session.Commit && !backend.conn.IsUsable() {
 		c.gateway.reportLeaderFailure(flight)
 		return notRun("the backend connection broke")
 	}
-	begins := !inTransaction || c.session.Opens(statement)
+	begins := !inTransaction || c.session.IsFirstOperation(statement)
 	if !c.maySend(statement, flight) {
 		return leaderUnusable()
 	}
 	sentAt := c.gateway.elapsed()
-	answer, err := backend.conn.QueryBy(deadline, id, backendText(statement, flight, !inTransaction))
+	answer, err := backend.conn.QueryUntil(deadline, id, backendText(statement, flight, !inTransaction))
 	if begins {
 		c.gateway.checkBeginTime(flight, backend.conn.SentAt())
 	}
@@ -278,7 +278,7 @@
 func backendText(statement session.Statement, flight *flight, isFirst bool) string {
 	text := statement.BackendText()
 	if isFirst && flight.placement.atReplica() {
-		return wire.AfterText(flight.placement.minPosition, text)
+		return wire.AfterPositionText(flight.placement.minPosition, text)
 	}
 	return text
 }
@@ -312,9 +312,9 @@
 		return c.gateway.mayAbort(flight)
 	case statement.Class == session.Commit:
 		return c.gateway.mayCommit(flight)
-	case c.session.Opens(statement):
+	case c.session.IsFirstOperation(statement):
 		return c.gateway.mayOpen(flight)
-	case c.session.Attached():
+	case c.session.HasOpenTransaction():
 		return c.gateway.mayContinue(flight)
 	}
 	return c.gateway.mayBegin(flight)
@@ -327,7 +327,7 @@
 	}
 	var failure *wire.ConnError
 	switch {
-	case errors.As(err, &failure) && failure.Sent == wire.NotSent:
+	case errors.As(err, &failure) && failure.Delivery == wire.NotSent:
 		return notRun("the backend connection broke")
 	case errors.As(err, &failure) && failure.Timeout:
 		return session.Outcome{Kind: session.TimedOut}
@@ -341,9 +341,9 @@
 
 // settle does with the backend connection what the verdict says. It runs before the client is answered: a freeze must
 // not find a flight whose client has its answer, and the client's next statement must find the connection again.
-func (c *client) settle(flight *flight, verdict session.Verdict) {
+func (c *client) settle(flight *flight, verdict session.Resolution) {
 	backend := flight.backend
-	if verdict.Fate == session.Keep {
+	if verdict.Action == session.KeepBackend {
 		c.flight = flight
 		c.gateway.markIdle(flight)
 		return
@@ -354,11 +354,11 @@
 		return
 	}
 	pool := backend.pool
-	switch verdict.Fate {
-	case session.Free:
-		backend.state.Ended(verdict.RolledBack)
+	switch verdict.Action {
+	case session.FreeBackend:
+		backend.state.EndTransaction(verdict.RolledBack)
 		pool.release(backend)
-	case session.Rollback:
+	case session.RollbackBackend:
 		pool.rollback(backend)
 	default:
 		pool.discard(backend)
@@ -372,11 +372,11 @@
 	if flight == nil {
 		return
 	}
-	fate := session.Rollback
+	fate := session.RollbackBackend
 	if !c.gateway.resume(flight) {
-		fate = session.Close
+		fate = session.CloseBackend
 	}
-	c.settle(flight, session.Verdict{Fate: fate})
+	c.settle(flight, session.Resolution{Action: fate})
 }
 
 // handleCutTransaction ends the session's transaction if its connection was cut while it was idle.
@@ -389,7 +389,7 @@
 	isCut := flight.isCut
 	c.gateway.mutex.Unlock()
 	if isCut {
-		c.session.RolledBack()
-		c.settle(flight, session.Verdict{Fate: session.Close})
+		c.session.HandleRollback()
+		c.settle(flight, session.Resolution{Action: session.CloseBackend})
 	}
 }
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -137,7 +137,7 @@
 		return
 	}
 	_, _ = conn.Write(wire.AppendReady(nil, wire.Idle, "3.1"))
-	connection := &fakeConnection{instance: s, number: number, user: connect.Who, state: wire.Idle}
+	connection := &fakeConnection{instance: s, number: number, user: connect.User, state: wire.Idle}
 	connection.reset()
 	for {
 		line, err := reader.ReadLine()
@@ -237,12 +237,12 @@
 		c.instance.commit(c.pending)
 		c.state = wire.Idle
 	case wire.Fetch:
-		return wire.Answer{Rows: []string{c.instance.read(statement.Thing)}, Stamp: "stamp", State: c.state, Position: c.instance.position()}
+		return wire.Answer{Rows: []string{c.instance.read(statement.Key)}, Stamp: "stamp", State: c.state, Position: c.instance.position()}
 	case wire.Put:
 		if c.state == wire.InTransaction {
-			c.pending[statement.Thing] = statement.Data
+			c.pending[statement.Key] = statement.Data
 		} else {
-			c.instance.commit(map[string]string{statement.Thing: statement.Data})
+			c.instance.commit(map[string]string{statement.Key: statement.Data})
 		}
 	}
 	return wire.Answer{Stamp: "stamp", State: c.state, Position: c.instance.position()}
@@ -284,7 +284,7 @@
 func (s *fakeInstance) clientStatements() []ranStatement {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return slices.DeleteFunc(slices.Clone(s.statements), func(statement ranStatement) bool { return statement.id == wire.OwnID })
+	return slices.DeleteFunc(slices.Clone(s.statements), func(statement ranStatement) bool { return statement.id == wire.InternalID })
 }
 
 // texts returns all statements that reached the instance, each as ID and text.
--- a/gateway/flights.go
+++ b/gateway/flights.go
@@ -81,7 +81,7 @@
 		}
 		flight.isCut = true
 		if flight.backend != nil {
-			flight.backend.conn.Cut()
+			flight.backend.conn.Interrupt()
 		}
 		if flight.isIdle {
 			delete(g.flights, flight)
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -133,7 +133,7 @@
 				return nil, err
 			}
 		}
-		if backend.conn.Usable() {
+		if backend.conn.IsUsable() {
 			return backend, nil
 		}
 		p.discard(backend)
@@ -281,12 +281,12 @@
 // returns before that is done.
 func (p *pool) rollback(backend *backend) {
 	p.launch(func() {
-		answer, err := backend.conn.QueryBy(time.Now().Add(rollbackTimeout), wire.OwnID, string(wire.Abort))
+		answer, err := backend.conn.QueryUntil(time.Now().Add(rollbackTimeout), wire.InternalID, string(wire.Abort))
 		if err != nil || answer.Code != "" || answer.State != wire.Idle {
 			p.discard(backend)
 			return
 		}
-		backend.state.Ended(true)
+		backend.state.EndTransaction(true)
 		p.release(backend)
 	})
 }
--- a/gateway/pool_dial.go
+++ b/gateway/pool_dial.go
@@ -122,7 +122,7 @@
 	now := p.now()
 	p.recordClosed(tenant, p.tenants[tenant].lastReason)
 	p.retryAt = now + dialRetryPause
-	var refused *wire.Refused
+	var refused *wire.RefusedError
 	switch {
 	case !errors.As(err, &refused):
 		p.counts.failed.Add(1)
--- a/gateway/pool_test.go
+++ b/gateway/pool_test.go
@@ -51,7 +51,7 @@
 			return nil, errUnreachable
 		}
 		if harness.instanceLimit > 0 && harness.openAtInstance() >= harness.instanceLimit {
-			return nil, &wire.Refused{Code: wire.ConnLimit}
+			return nil, &wire.RefusedError{Code: wire.ConnLimit}
 		}
 		conn, err := harness.dialInstance(ctx, tenant)
 		if err == nil {
@@ -64,7 +64,7 @@
 
 // openAtInstance returns how many connections this pool has open at the instance.
 func (h *poolHarness) openAtInstance() int {
-	h.dialed = slices.DeleteFunc(h.dialed, func(conn *wire.Conn) bool { return !conn.Usable() })
+	h.dialed = slices.DeleteFunc(h.dialed, func(conn *wire.Conn) bool { return !conn.IsUsable() })
 	return len(h.dialed)
 }
 
@@ -443,7 +443,7 @@
 	if want == "" {
 		want = u.defaultUser
 	}
-	if _, err := caller.backend.conn.QueryBy(time.Now().Add(5*time.Second), "1", "FETCH a"); err != nil {
+	if _, err := caller.backend.conn.QueryUntil(time.Now().Add(5*time.Second), "1", "FETCH a"); err != nil {
 		u.Fatal(err)
 	}
 	if got := u.lastUser(); got != want {
--- a/host/probefailure.go
+++ b/host/probefailure.go
@@ -16,13 +16,13 @@
 
 // failureOf tells what an error shows of the instance. The context is the one that bounded the call.
 func failureOf(ctx context.Context, err error) *probeFailure {
-	var refusal *wire.Refused
+	var refusal *wire.RefusedError
 	if errors.As(err, &refusal) {
 		return &probeFailure{answer: answerOfRefusal(refusal.Code), sound: true}
 	}
 	var failure *wire.ConnError
 	timedOut := ctx.Err() != nil || !errors.As(err, &failure) || failure.Timeout
-	if !timedOut && failure.Sent == wire.NotSent {
+	if !timedOut && failure.Delivery == wire.NotSent {
 		return &probeFailure{answer: failover.Refused}
 	}
 	return &probeFailure{answer: failover.Silent}
--- a/host/prober.go
+++ b/host/prober.go
@@ -157,7 +157,7 @@
 // ask carries one probe out. A connection that failed, or whose answer may still come, is never used again.
 func (p *prober) ask(instance *probedInstance, probe failover.Probe) failover.ProbeResult {
 	result := failover.ProbeResult{Number: probe.Number, Started: p.now()}
-	if instance.connection == nil || !instance.connection.Usable() {
+	if instance.connection == nil || !instance.connection.IsUsable() {
 		instance.connection = nil
 		connection, err := p.dial(probe)
 		if err != nil {
--- a/session/backend.go
+++ b/session/backend.go
@@ -69,9 +69,9 @@
 	return NeedsValues
 }
 
-// Steps are what must be run on the connection, in this order, before the statement. None of them is needed for the
+// SetupSteps are what must be run on the connection, in this order, before the statement. None of them is needed for the
 // end of a transaction.
-func (s *Session) Steps(backend *Backend, statement Statement) []Step {
+func (s *Session) SetupSteps(backend *Backend, statement Statement) []Step {
 	if statement.Class == Commit || statement.Class == Abort {
 		return nil
 	}
@@ -87,12 +87,12 @@
 			steps = append(steps, Step{Kind: StepValue, Name: name, Value: value, Text: wire.SetOptText(name, value)})
 		}
 	}
-	if statement.Needed == nil {
+	if statement.Prepared == nil {
 		return steps
 	}
-	name := statement.Needed.BackendName()
+	name := statement.Prepared.BackendName()
 	if _, known := present.prepared[name]; !known {
-		text := wire.PrepareText(name, statement.Needed.Kind, statement.Needed.Shape)
+		text := wire.PrepareText(name, statement.Prepared.Kind, statement.Prepared.Shape)
 		steps = append(steps, Step{Kind: StepPrepare, Name: name, Text: text})
 	}
 	return steps
@@ -100,15 +100,15 @@
 
 // BackendText is the text of the statement as it is sent to an instance.
 func (statement Statement) BackendText() string {
-	if statement.Needed == nil {
+	if statement.Prepared == nil {
 		return statement.Text
 	}
-	return wire.RenameExecute(statement.Text, statement.Needed.BackendName())
+	return wire.RenameExecute(statement.Text, statement.Prepared.BackendName())
 }
 
 // Done records that the instance has carried out the step; inTransaction tells whether that was inside the session's
 // open transaction.
-func (b *Backend) Done(step Step, inTransaction bool) {
+func (b *Backend) RecordStep(step Step, inTransaction bool) {
 	b.inside = b.inside || inTransaction
 	switch step.Kind {
 	case StepReset:
@@ -126,12 +126,12 @@
 	}
 }
 
-// Distrust records that what is set on the connection isn't known any more.
-func (b *Backend) Distrust() { b.unsure = true }
+// MarkUnknown records that what is set on the connection isn't known any more.
+func (b *Backend) MarkUnknown() { b.unsure = true }
 
-// Ended records that the transaction on the connection has ended. After a rollback it isn't known whether what was
+// EndTransaction records that the transaction on the connection has ended. After a rollback it isn't known whether what was
 // put in order inside the transaction still holds.
-func (b *Backend) Ended(rolledBack bool) {
+func (b *Backend) EndTransaction(rolledBack bool) {
 	b.unsure = b.unsure || (rolledBack && b.inside)
 	b.inside = false
 }
--- a/session/outcome.go
+++ b/session/outcome.go
@@ -27,39 +27,39 @@
 	Stale  bool        // the gateway's right to use the leader didn't last from the sending to the answer
 }
 
-// Fate says what becomes of the backend connection.
-type Fate int
+// BackendAction says what becomes of the backend connection.
+type BackendAction int
 
 const (
-	// Keep it for the session's open transaction.
-	Keep Fate = iota
-	// Free it: another session may use it.
-	Free
-	// Rollback its transaction, then free it.
-	Rollback
-	// Close it.
-	Close
+	// KeepBackend keeps it for the session's open transaction.
+	KeepBackend BackendAction = iota
+	// FreeBackend gives it back: another session may use it.
+	FreeBackend
+	// RollbackBackend rolls its transaction back, then frees it.
+	RollbackBackend
+	// CloseBackend closes it.
+	CloseBackend
 )
 
-// Verdict is what the client is told, and what becomes of the backend connection.
-type Verdict struct {
+// Resolution is what the client is told, and what becomes of the backend connection.
+type Resolution struct {
 	Answer wire.Answer
-	Fate   Fate
+	Action BackendAction
 
-	// RolledBack tells, with Free, that a transaction on the connection was rolled back rather than committed.
+	// RolledBack tells, with FreeBackend, that a transaction on the connection was rolled back rather than committed.
 	RolledBack bool
 }
 
-// Ended judges how a statement that Take handed out has ended.
-func (s *Session) Ended(statement Statement, outcome Outcome) Verdict {
+// HandleOutcome judges how a statement that HandleQuery handed out has ended.
+func (s *Session) HandleOutcome(statement Statement, outcome Outcome) Resolution {
 	inside := s.state == wire.InTransaction
 	verdict := s.judge(statement, outcome)
 	committed := statement.Class == Commit && outcome.Answer.Code == ""
-	verdict.RolledBack = inside && verdict.Fate == Free && !committed
+	verdict.RolledBack = inside && verdict.Action == FreeBackend && !committed
 	return verdict
 }
 
-func (s *Session) judge(statement Statement, outcome Outcome) Verdict {
+func (s *Session) judge(statement Statement, outcome Outcome) Resolution {
 	switch statement.Class {
 	case Begin:
 		return s.beginEnded(outcome)
@@ -75,24 +75,24 @@
 }
 
 // singleEnded judges a read or write outside a transaction. The state stays I.
-func (s *Session) singleEnded(class Class, outcome Outcome) Verdict {
+func (s *Session) singleEnded(class Class, outcome Outcome) Resolution {
 	answer := outcome.Answer
 	switch {
 	case outcome.Kind == NotRun:
-		return refused(wire.Busy, outcome.Reason, wire.Idle, intact(outcome, Free))
+		return refused(wire.Busy, outcome.Reason, wire.Idle, intact(outcome, FreeBackend))
 	case outcome.Kind == TimedOut:
-		return refused(wire.Timeout, "", wire.Idle, Close)
+		return refused(wire.Timeout, "", wire.Idle, CloseBackend)
 	case outcome.Kind == Lost:
-		return refused(unknown(class), "", wire.Idle, Close)
+		return refused(unknown(class), "", wire.Idle, CloseBackend)
 	case answer.Code == wire.NoStmt:
-		return refused(wire.Busy, outOfSync, wire.Idle, Close)
+		return refused(wire.Busy, outOfSync, wire.Idle, CloseBackend)
 	case answer.Code != "":
 		answer.State = wire.Idle
-		return Verdict{Answer: answer, Fate: freeIfIdle(outcome.Answer)}
+		return Resolution{Answer: answer, Action: freeIfIdle(outcome.Answer)}
 	case answer.State != wire.Idle || outcome.Stale:
 		return refused(unknown(class), "", wire.Idle, freeIfIdle(answer))
 	}
-	return Verdict{Answer: answer, Fate: Free}
+	return Resolution{Answer: answer, Action: FreeBackend}
 }
 
 // unknown is what a client is told when it isn't known whether its single statement ran: a read keeps nothing.
@@ -103,111 +103,111 @@
 	return wire.Busy
 }
 
-func (s *Session) beginEnded(outcome Outcome) Verdict {
+func (s *Session) beginEnded(outcome Outcome) Resolution {
 	answer := outcome.Answer
 	switch {
 	case outcome.Kind == TimedOut:
-		return refused(wire.Timeout, "", wire.Idle, Close)
+		return refused(wire.Timeout, "", wire.Idle, CloseBackend)
 	case outcome.Kind != Answered:
-		return refused(wire.Busy, outcome.Reason, wire.Idle, intact(outcome, Free))
+		return refused(wire.Busy, outcome.Reason, wire.Idle, intact(outcome, FreeBackend))
 	case answer.Code != "":
 		answer.State = wire.Idle
-		return Verdict{Answer: answer, Fate: freeIfIdle(outcome.Answer)}
+		return Resolution{Answer: answer, Action: freeIfIdle(outcome.Answer)}
 	case answer.State != wire.InTransaction:
-		return refused(wire.Busy, "", wire.Idle, Close)
+		return refused(wire.Busy, "", wire.Idle, CloseBackend)
 	case outcome.Stale:
-		return refused(wire.Busy, "", wire.Idle, Rollback)
+		return refused(wire.Busy, "", wire.Idle, RollbackBackend)
 	}
 	s.state = wire.InTransaction
-	return Verdict{Answer: answer, Fate: Keep}
+	return Resolution{Answer: answer, Action: KeepBackend}
 }
 
 // insideEnded judges a read or write inside a transaction: its COMMIT hasn't been sent, so an end of the connection
 // rolls it back.
-func (s *Session) insideEnded(outcome Outcome) Verdict {
+func (s *Session) insideEnded(outcome Outcome) Resolution {
 	answer := outcome.Answer
 	switch {
 	case outcome.Kind == TimedOut:
-		return s.fail(wire.Timeout, "", Close)
+		return s.fail(wire.Timeout, "", CloseBackend)
 	case outcome.Kind != Answered:
-		return s.fail(wire.RolledBack, outcome.Reason, intact(outcome, Rollback))
+		return s.fail(wire.RolledBack, outcome.Reason, intact(outcome, RollbackBackend))
 	case answer.Code == wire.NoStmt:
-		return s.fail(wire.RolledBack, outOfSync, Close)
+		return s.fail(wire.RolledBack, outOfSync, CloseBackend)
 	case answer.Code != "":
 		verdict := s.fail(answer.Code, answer.Text, rollbackUnlessIdle(answer))
 		verdict.Answer.Position = answer.Position
 		return verdict
 	case answer.State != wire.InTransaction:
-		return s.fail(wire.RolledBack, "", Close)
+		return s.fail(wire.RolledBack, "", CloseBackend)
 	}
-	return Verdict{Answer: answer, Fate: Keep}
+	return Resolution{Answer: answer, Action: KeepBackend}
 }
 
 // fail ends the transaction with an error; the client has to end it too.
-func (s *Session) fail(code wire.Code, text string, fate Fate) Verdict {
+func (s *Session) fail(code wire.Code, text string, fate BackendAction) Resolution {
 	s.leave(wire.Failed)
 	return refused(code, text, wire.Failed, fate)
 }
 
-func (s *Session) commitEnded(outcome Outcome) Verdict {
+func (s *Session) commitEnded(outcome Outcome) Resolution {
 	wrote := s.wrote
 	answer := outcome.Answer
 	s.leave(wire.Idle)
 	switch {
 	case outcome.Kind == NotRun:
-		return refused(wire.RolledBack, outcome.Reason, wire.Idle, intact(outcome, Rollback))
+		return refused(wire.RolledBack, outcome.Reason, wire.Idle, intact(outcome, RollbackBackend))
 	case outcome.Kind == TimedOut:
-		return refused(wire.Timeout, "", wire.Idle, Close)
+		return refused(wire.Timeout, "", wire.Idle, CloseBackend)
 	case outcome.Kind == Lost && wrote:
-		return refused(wire.InDoubt, "", wire.Idle, Close)
+		return refused(wire.InDoubt, "", wire.Idle, CloseBackend)
 	case outcome.Kind == Lost:
-		return refused(wire.RolledBack, "", wire.Idle, Close)
+		return refused(wire.RolledBack, "", wire.Idle, CloseBackend)
 	case answer.Code != "":
 		answer.State = wire.Idle
-		return Verdict{Answer: answer, Fate: rollbackUnlessIdle(outcome.Answer)}
+		return Resolution{Answer: answer, Action: rollbackUnlessIdle(outcome.Answer)}
 	case wrote && (outcome.Stale || answer.State != wire.Idle):
 		return refused(wire.InDoubt, "", wire.Idle, freeIfIdle(answer))
 	case answer.State != wire.Idle:
-		return refused(wire.RolledBack, "", wire.Idle, Close)
+		return refused(wire.RolledBack, "", wire.Idle, CloseBackend)
 	}
-	return Verdict{Answer: answer, Fate: Free}
+	return Resolution{Answer: answer, Action: FreeBackend}
 }
 
 // abortEnded: whatever came of it at the instance, the transaction is rolled back, since a connection that didn't say
 // so is closed.
-func (s *Session) abortEnded(outcome Outcome) Verdict {
+func (s *Session) abortEnded(outcome Outcome) Resolution {
 	s.leave(wire.Idle)
 	if outcome.Kind == Answered && outcome.Answer.Code == "" && outcome.Answer.State == wire.Idle {
-		return Verdict{Answer: outcome.Answer, Fate: Free}
+		return Resolution{Answer: outcome.Answer, Action: FreeBackend}
 	}
-	return Verdict{Answer: wire.Completed(wire.Idle), Fate: Close}
+	return Resolution{Answer: wire.Completed(wire.Idle), Action: CloseBackend}
 }
 
-func refused(code wire.Code, text string, state wire.State, fate Fate) Verdict {
-	return Verdict{Answer: wire.Refusal(code, text, state), Fate: fate}
+func refused(code wire.Code, text string, state wire.State, fate BackendAction) Resolution {
+	return Resolution{Answer: wire.Refusal(code, text, state), Action: fate}
 }
 
 // outOfSync tells that the instance doesn't know a name that was prepared there. It has not run the statement.
 const outOfSync = "the backend connection lost a prepared name"
 
 // intact is the fate of a connection on which the statement was not run: as given if it is sound.
-func intact(outcome Outcome, fate Fate) Fate {
+func intact(outcome Outcome, fate BackendAction) BackendAction {
 	if outcome.Kind == NotRun && outcome.Intact {
 		return fate
 	}
-	return Close
+	return CloseBackend
 }
 
-func freeIfIdle(answer wire.Answer) Fate {
+func freeIfIdle(answer wire.Answer) BackendAction {
 	if answer.State == wire.Idle {
-		return Free
+		return FreeBackend
 	}
-	return Close
+	return CloseBackend
 }
 
-func rollbackUnlessIdle(answer wire.Answer) Fate {
+func rollbackUnlessIdle(answer wire.Answer) BackendAction {
 	if answer.State == wire.Idle {
-		return Free
+		return FreeBackend
 	}
-	return Rollback
+	return RollbackBackend
 }
--- a/session/scenario_test.go
+++ b/session/scenario_test.go
@@ -15,7 +15,7 @@
 //
 //	backend NAME            the connection that the next statement runs on
 //	> TEXT                  the client asks
-//	run CLASS [first] TEXT  Take wants this run, and this is the text that is sent
+//	run CLASS [first] TEXT  HandleQuery wants this run, and this is the text that is sent
 //	step TEXT               a step that must be run before, in this order
 //	answered ANSWER         how it ends: ROW and COMPLETE or ERROR, then "/ STATE POSITION"
 //	stale ANSWER            the same, and the right to the leader didn't last
@@ -42,7 +42,7 @@
 	backend  *Backend
 	decision Decision
 	steps    []Step
-	verdict  Verdict
+	verdict  Resolution
 	open     map[string]bool // what must still be named in the scenario
 }
 
@@ -98,11 +98,11 @@
 		p.checkFate(fields)
 	case "rollback":
 		p.named("rollback")
-		p.backend.Ended(true)
+		p.backend.EndTransaction(true)
 	case "rested":
 		p.allNamed()
-		p.session.RolledBack()
-		p.backend.Ended(true)
+		p.session.HandleRollback()
+		p.backend.EndTransaction(true)
 	default:
 		p.Fatalf("%s: unknown word", p.place)
 	}
@@ -137,13 +137,13 @@
 func (p *player) ask(text string) {
 	p.Helper()
 	p.allNamed()
-	p.decision = p.session.Take(text)
+	p.decision = p.session.HandleQuery(text)
 	if !p.decision.Local {
 		p.open["run"] = true
-		p.steps = p.session.Steps(p.backend, p.decision.Statement)
+		p.steps = p.session.SetupSteps(p.backend, p.decision.Statement)
 		return
 	}
-	p.verdict = Verdict{Answer: p.decision.Answer}
+	p.verdict = Resolution{Answer: p.decision.Answer}
 	p.open["answer"] = true
 	if p.decision.Rollback {
 		p.open["rollback"] = true
@@ -155,7 +155,7 @@
 func (p *player) checkRun(want string) {
 	p.Helper()
 	got := classNames[p.decision.Statement.Class] + " "
-	if p.decision.First {
+	if p.decision.NeedsConnection {
 		got += "first "
 	}
 	got += p.decision.Statement.BackendText()
@@ -169,7 +169,7 @@
 	if len(p.steps) == 0 || p.steps[0].Text != want {
 		p.Fatalf("%s: steps %+v", p.place, p.steps)
 	}
-	p.backend.Done(p.steps[0], p.session.Attached())
+	p.backend.RecordStep(p.steps[0], p.session.HasOpenTransaction())
 	p.steps = p.steps[1:]
 }
 
@@ -194,15 +194,15 @@
 		p.Fatalf("%s: the step %q wasn't run", p.place, p.steps[0].Text)
 	}
 	p.steps = nil
-	p.verdict = p.session.Ended(p.decision.Statement, outcome)
+	p.verdict = p.session.HandleOutcome(p.decision.Statement, outcome)
 	if p.verdict.Answer.State != p.session.State() {
 		p.Fatalf("%s: the client is told %c and the session is in %c", p.place, p.verdict.Answer.State, p.session.State())
 	}
-	switch p.verdict.Fate {
-	case Free:
-		p.backend.Ended(p.verdict.RolledBack)
-	case Rollback:
-		p.backend.Ended(true)
+	switch p.verdict.Action {
+	case FreeBackend:
+		p.backend.EndTransaction(p.verdict.RolledBack)
+	case RollbackBackend:
+		p.backend.EndTransaction(true)
 	}
 	p.open["answer"], p.open["fate"] = true, true
 }
@@ -218,11 +218,11 @@
 	}
 }
 
-var fateNames = map[Fate]string{Keep: "keep", Free: "free", Rollback: "rollback", Close: "close"}
+var fateNames = map[BackendAction]string{KeepBackend: "keep", FreeBackend: "free", RollbackBackend: "rollback", CloseBackend: "close"}
 
 func (p *player) checkFate(want string) {
 	p.Helper()
-	if got := fateNames[p.verdict.Fate]; got != want {
+	if got := fateNames[p.verdict.Action]; got != want {
 		p.Fatalf("%s: fate %s", p.place, got)
 	}
 }
--- a/session/session.go
+++ b/session/session.go
@@ -2,7 +2,7 @@
 // be put in order on a backend connection before a statement may run there, and what an answer, a broken connection
 // or a time-out means for the client.
 //
-// It does no I/O and knows no clocks. The gateway asks Take what to do with a text, runs what it says, and asks Ended
+// It does no I/O and knows no clocks. The gateway asks HandleQuery what to do with a text, runs what it says, and asks HandleOutcome
 // what the client is told and what becomes of the backend connection. Two things hold throughout:
 //
 //   - A promise that nothing of a try is kept is given only where that is known: the statement was not sent, the
@@ -45,20 +45,20 @@
 
 // Statement is a statement that must run at an instance.
 type Statement struct {
-	Class  Class
-	Text   string    // as the client sent it
-	Needed *Prepared // for an EXECUTE: what its name stands for
+	Class    Class
+	Text     string    // as the client sent it
+	Prepared *Prepared // for an EXECUTE: what its name stands for
 
 	ReadOnly bool // it keeps nothing, nor does the transaction that it opens: a replica may run it
 }
 
 // Decision says what to do with a text that the client sent.
 type Decision struct {
-	Local     bool        // answer with Answer; nothing is run
-	Answer    wire.Answer // with Local
-	Rollback  bool        // with Local: the backend connection's transaction must be rolled back now
-	Statement Statement   // without Local
-	First     bool        // without Local: the statement stands outside a transaction or begins one, and needs a connection
+	Local           bool        // answer with Answer; nothing is run
+	Answer          wire.Answer // with Local
+	Rollback        bool        // with Local: the backend connection's transaction must be rolled back now
+	Statement       Statement   // without Local
+	NeedsConnection bool        // without Local: the statement stands outside a transaction or begins one, and needs a connection
 }
 
 // Session is the state of one client's session.
@@ -78,20 +78,20 @@
 // State is the state that the client was told last.
 func (s *Session) State() wire.State { return s.state }
 
-// Attached tells whether a transaction is open at an instance.
-func (s *Session) Attached() bool { return s.state == wire.InTransaction }
+// HasOpenTransaction tells whether a transaction is open at an instance.
+func (s *Session) HasOpenTransaction() bool { return s.state == wire.InTransaction }
 
-// Opens tells whether the statement, which was taken last, is the first read or write of the open transaction.
-func (s *Session) Opens(statement Statement) bool {
+// IsFirstOperation tells whether the statement, which was taken last, is the first read or write of the open transaction.
+func (s *Session) IsFirstOperation(statement Statement) bool {
 	runs := statement.Class == Read || statement.Class == Write
-	return runs && s.Attached() && s.statements == 1
+	return runs && s.HasOpenTransaction() && s.statements == 1
 }
 
-// Wrote tells whether the open transaction has sent a write.
-func (s *Session) Wrote() bool { return s.wrote }
+// HasWritten tells whether the open transaction has sent a write.
+func (s *Session) HasWritten() bool { return s.wrote }
 
-// Take decides what to do with the text of a QUERY.
-func (s *Session) Take(text string) Decision {
+// HandleQuery decides what to do with the text of a QUERY.
+func (s *Session) HandleQuery(text string) Decision {
 	statement, err := wire.ParseStatement(text)
 	if s.state == wire.Failed {
 		return s.takeFailed(statement, err == nil)
@@ -124,7 +124,7 @@
 	if !known {
 		return s.refuse(wire.NoStmt, name)
 	}
-	statement := Statement{Class: Read, Text: text, Needed: &prepared, ReadOnly: true}
+	statement := Statement{Class: Read, Text: text, Prepared: &prepared, ReadOnly: true}
 	if prepared.Kind == wire.Put {
 		statement.Class, statement.ReadOnly = Write, false
 	}
@@ -150,7 +150,7 @@
 }
 
 func (s *Session) run(statement Statement) Decision {
-	return Decision{Statement: statement, First: s.state == wire.Idle}
+	return Decision{Statement: statement, NeedsConnection: s.state == wire.Idle}
 }
 
 // takeFailed answers in state E: the end of the transaction, and the refusal of all else.
@@ -181,17 +181,17 @@
 	return decision
 }
 
-// Malformed is the decision on a message that can't be read at all.
-func (s *Session) Malformed() Decision {
+// HandleMalformed is the decision on a message that can't be read at all.
+func (s *Session) HandleMalformed() Decision {
 	if s.state == wire.Failed {
 		return s.takeFailed(wire.Statement{}, false)
 	}
 	return s.refuse(wire.Malformed, "")
 }
 
-// RolledBack records that the open transaction was rolled back while nothing was asked: it rested for too long, its
+// HandleRollback records that the open transaction was rolled back while nothing was asked: it rested for too long, its
 // connection was lost, or the gateway had to end it. The client hears of it with its next statement.
-func (s *Session) RolledBack() {
+func (s *Session) HandleRollback() {
 	if s.state != wire.InTransaction {
 		return
 	}
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -13,14 +13,14 @@
 func TestThirteenthStatementFailsTheTransaction(t *testing.T) {
 	is := is.New(t)
 	session := New()
-	begin := session.Take("BEGIN").Statement
-	session.Ended(begin, Outcome{Kind: Answered, Answer: wire.Answer{Stamp: "7.1", State: wire.InTransaction, Position: "3.1"}})
+	begin := session.HandleQuery("BEGIN").Statement
+	session.HandleOutcome(begin, Outcome{Kind: Answered, Answer: wire.Answer{Stamp: "7.1", State: wire.InTransaction, Position: "3.1"}})
 	for range maxStatements {
-		decision := session.Take("FETCH a")
+		decision := session.HandleQuery("FETCH a")
 		is.True(!decision.Local)
-		session.Ended(decision.Statement, Outcome{Kind: Answered, Answer: wire.Answer{Stamp: "7.1", State: wire.InTransaction, Position: "3.1"}})
+		session.HandleOutcome(decision.Statement, Outcome{Kind: Answered, Answer: wire.Answer{Stamp: "7.1", State: wire.InTransaction, Position: "3.1"}})
 	}
-	decision := session.Take("FETCH a")
+	decision := session.HandleQuery("FETCH a")
 	is.True(decision.Local)
 	is.True(decision.Rollback)
 	is.Equal(decision.Answer.Code, wire.Malformed)
@@ -32,17 +32,17 @@
 	for _, text := range []string{"SETOPT n%d v", "PREPARE n%d PUT q"} {
 		session := New()
 		for number := range maxNames {
-			is.Equal(session.Take(fmt.Sprintf(text, number)).Answer.Code, wire.Code(""))
+			is.Equal(session.HandleQuery(fmt.Sprintf(text, number)).Answer.Code, wire.Code(""))
 		}
-		is.Equal(session.Take(fmt.Sprintf(text, maxNames)).Answer.Code, wire.Malformed)
-		is.Equal(session.Take(fmt.Sprintf(text, 0)).Answer.Code, wire.Code("")) // one that is there may change
+		is.Equal(session.HandleQuery(fmt.Sprintf(text, maxNames)).Answer.Code, wire.Malformed)
+		is.Equal(session.HandleQuery(fmt.Sprintf(text, 0)).Answer.Code, wire.Code("")) // one that is there may change
 	}
 	session := New()
-	is.Equal(session.Take("SETOPT a "+strings.Repeat("x", maxKeptBytes)).Answer.Code, wire.Malformed)
-	is.Equal(session.Take("PREPARE s1 PUT "+strings.Repeat("x", maxKeptBytes-10)).Answer.Code, wire.Code(""))
-	is.Equal(session.Take("SETOPT a "+strings.Repeat("x", 10)).Answer.Code, wire.Malformed)
-	is.Equal(session.Take("RELEASE s1").Answer.Code, wire.Code(""))
-	is.Equal(session.Take("SETOPT a "+strings.Repeat("x", 10)).Answer.Code, wire.Code(""))
+	is.Equal(session.HandleQuery("SETOPT a "+strings.Repeat("x", maxKeptBytes)).Answer.Code, wire.Malformed)
+	is.Equal(session.HandleQuery("PREPARE s1 PUT "+strings.Repeat("x", maxKeptBytes-10)).Answer.Code, wire.Code(""))
+	is.Equal(session.HandleQuery("SETOPT a "+strings.Repeat("x", 10)).Answer.Code, wire.Malformed)
+	is.Equal(session.HandleQuery("RELEASE s1").Answer.Code, wire.Code(""))
+	is.Equal(session.HandleQuery("SETOPT a "+strings.Repeat("x", 10)).Answer.Code, wire.Code(""))
 }
 
 func TestShapesHaveNamesOfTheirOwn(t *testing.T) {
@@ -65,11 +65,11 @@
 func TestConnectionThatSuitsBest(t *testing.T) {
 	is := is.New(t)
 	session := New()
-	session.Take("SETOPT a 1")
-	session.Take("SETOPT b 2")
+	session.HandleQuery("SETOPT a 1")
+	session.HandleQuery("SETOPT b 2")
 	same, part, more, unsure := NewBackend(), NewBackend(), NewBackend(), NewBackend()
 	value := func(backend *Backend, name, value string) {
-		backend.Done(Step{Kind: StepValue, Name: name, Value: value}, false)
+		backend.RecordStep(Step{Kind: StepValue, Name: name, Value: value}, false)
 	}
 	value(same, "a", "1")
 	value(same, "b", "2")
@@ -77,7 +77,7 @@
 	value(more, "a", "1")
 	value(more, "b", "2")
 	value(more, "c", "3")
-	unsure.Distrust()
+	unsure.MarkUnknown()
 	is.Equal(session.FitOf(same), Fits)
 	is.Equal(session.FitOf(part), NeedsValues)
 	is.Equal(session.FitOf(NewBackend()), NeedsValues)
@@ -99,27 +99,27 @@
 		for len(choices) >= 2 {
 			text, fate := texts[int(choices[0])%len(texts)], choices[1]
 			choices = choices[2:]
-			decision := session.Take(text)
+			decision := session.HandleQuery(text)
 			if decision.Local {
 				wrote = wrote && !decision.Rollback
 				continue
 			}
 			class := decision.Statement.Class
 			outcome := fuzzedOutcome(class, fate)
-			verdict := session.Ended(decision.Statement, outcome)
+			verdict := session.HandleOutcome(decision.Statement, outcome)
 			sent := outcome.Kind != NotRun
 			refusedThere := outcome.Kind == Answered && outcome.Answer.Code != ""
-			mayBeKept := sent && !refusedThere && ((class == Write && decision.First) || (class == Commit && wrote))
-			if verdict.Answer.Code.Promise() && mayBeKept {
+			mayBeKept := sent && !refusedThere && ((class == Write && decision.NeedsConnection) || (class == Commit && wrote))
+			if verdict.Answer.Code.PromisesNoEffect() && mayBeKept {
 				t.Fatalf("%s to %q, which may be kept", verdict.Answer.Code, text)
 			}
 			if verdict.Answer.State != session.State() {
 				t.Fatalf("told %c in %c", verdict.Answer.State, session.State())
 			}
-			if (verdict.Fate == Keep) != (session.State() == wire.InTransaction) {
-				t.Fatalf("fate %d in %c", verdict.Fate, session.State())
+			if (verdict.Action == KeepBackend) != (session.State() == wire.InTransaction) {
+				t.Fatalf("fate %d in %c", verdict.Action, session.State())
 			}
-			wrote = session.Attached() && (wrote || class == Write)
+			wrote = session.HasOpenTransaction() && (wrote || class == Write)
 		}
 	})
 }
@@ -152,16 +152,16 @@
 func TestFirstStatementOfATransactionOpensIt(t *testing.T) {
 	is := is.New(t)
 	session := New()
-	single := session.Take("FETCH a").Statement
-	is.True(!session.Opens(single)) // it stands outside
-	begin := session.Take("BEGIN").Statement
-	is.True(!session.Opens(begin))
+	single := session.HandleQuery("FETCH a").Statement
+	is.True(!session.IsFirstOperation(single)) // it stands outside
+	begin := session.HandleQuery("BEGIN").Statement
+	is.True(!session.IsFirstOperation(begin))
 	inside := Outcome{Kind: Answered, Answer: wire.Answer{Stamp: "7.1", State: wire.InTransaction, Position: "3.1"}}
-	session.Ended(begin, inside)
-	first := session.Take("PUT a x").Statement
-	is.True(session.Opens(first))
-	session.Ended(first, inside)
-	commit := session.Take("COMMIT").Statement
-	is.True(!session.Opens(commit))
-	is.True(!session.Opens(session.Take("FETCH a").Statement))
+	session.HandleOutcome(begin, inside)
+	first := session.HandleQuery("PUT a x").Statement
+	is.True(session.IsFirstOperation(first))
+	session.HandleOutcome(first, inside)
+	commit := session.HandleQuery("COMMIT").Statement
+	is.True(!session.IsFirstOperation(commit))
+	is.True(!session.IsFirstOperation(session.HandleQuery("FETCH a").Statement))
 }
--- a/systemtest/workload/client.go
+++ b/systemtest/workload/client.go
@@ -202,7 +202,7 @@
 // open opens a session at a gateway.
 func (c *client) open(ctx context.Context, gateway string) bool {
 	conn, err := wire.Dial(ctx, gateway, c.Database, c.key, "")
-	var refused *wire.Refused
+	var refused *wire.RefusedError
 	if errors.As(err, &refused) && refused.Code == wire.AuthFail {
 		c.History.addRefused(c.key)
 	}
@@ -215,7 +215,7 @@
 
 // own asks what has no part in the history, and tells whether it succeeded.
 func (c *client) own(text string) bool {
-	answer, err := c.conn.QueryBy(time.Now().Add(tryWait), c.nextID(), text)
+	answer, err := c.conn.QueryUntil(time.Now().Add(tryWait), c.nextID(), text)
 	if err != nil || answer.Code != "" {
 		c.leave()
 		return false
@@ -236,17 +236,17 @@
 		Client: c.number, Key: c.key, Gateway: c.gateway, Try: fmt.Sprintf("%d.%d", c.number, c.tries),
 		ID: c.nextID(), Text: text, Began: began, Sent: time.Now(), Writes: writes,
 	}
-	answer, err := c.conn.QueryBy(time.Now().Add(tryWait), statement.ID, text)
+	answer, err := c.conn.QueryUntil(time.Now().Add(tryWait), statement.ID, text)
 	statement.Answered = time.Now()
 	statement.Code, statement.Stamp, statement.Rows = answer.Code, answer.Stamp, answer.Rows
 	switch {
-	case wire.SentOf(err) == wire.NotSent && err != nil:
+	case wire.DeliveryOf(err) == wire.NotSent && err != nil:
 		statement.Outcome = NotKept
 	case err != nil:
 		statement.Outcome = Unknown
 	case answer.Code == "":
 		statement.Outcome = Done
-	case answer.Code.Promise():
+	case answer.Code.PromisesNoEffect():
 		statement.Outcome = NotKept
 	}
 	if err != nil || answer.State == wire.Failed {
--- a/testinstance/connection.go
+++ b/testinstance/connection.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return
 	}
-	c.who, c.caller = connect.Who, connect.Who
+	c.who, c.caller = connect.User, connect.User
 	if !c.awaitJoin() || !c.open(connect) {
 		return
 	}
@@ -92,7 +92,7 @@
 		if err != nil || !c.instance.awaitThaw(c.ctx) || !c.awaitJoin() {
 			return
 		}
-		if request.ID != wire.OwnID && happens(c.instance.service.currentTroubles().LoseAnswers) {
+		if request.ID != wire.InternalID && happens(c.instance.service.currentTroubles().LoseAnswers) {
 			return
 		}
 		if _, err := c.network.Write(wire.AppendAnswer(nil, answer)); err != nil {
@@ -104,7 +104,7 @@
 // recognise learns which process the caller is.
 func (c *connection) recognise(statementID string) {
 	callerOf := c.instance.service.settings.CallerOf
-	if callerOf == nil || statementID == "" || statementID == wire.OwnID {
+	if callerOf == nil || statementID == "" || statementID == wire.InternalID {
 		return
 	}
 	if process, known := callerOf(statementID); known {
--- a/testinstance/instance_test.go
+++ b/testinstance/instance_test.go
@@ -104,7 +104,7 @@
 
 func (s *session) ask(text string) string {
 	s.Helper()
-	answer, err := s.conn.QueryBy(time.Now().Add(patience), "q", text)
+	answer, err := s.conn.QueryUntil(time.Now().Add(patience), "q", text)
 	switch {
 	case err != nil:
 		return "broken"
@@ -154,13 +154,13 @@
 	is.Equal(replica.ask("PUT k seven"), "READONLY I")
 	is.Equal(replica.ask("BEGIN"), "READONLY I")
 	_, err := wire.Dial(t.Context(), c.instances[0].Address(), "orders", "test", "other")
-	var refused *wire.Refused
+	var refused *wire.RefusedError
 	is.True(err != nil)
 	is.True(asRefused(err, &refused) && refused.Code == wire.WrongNode)
 }
 
-func asRefused(err error, refused **wire.Refused) bool {
-	found, is := err.(*wire.Refused)
+func asRefused(err error, refused **wire.RefusedError) bool {
+	found, is := err.(*wire.RefusedError)
 	*refused = found
 	return is
 }
@@ -172,7 +172,7 @@
 	})
 	first, second := c.dial(c.instances[0]), c.dial(c.instances[0])
 	_, err := wire.Dial(t.Context(), c.instances[0].Address(), "orders", "test", "")
-	var refused *wire.Refused
+	var refused *wire.RefusedError
 	is.True(asRefused(err, &refused) && refused.Code == wire.ConnLimit)
 	done := make(chan string, 1)
 	go func() { done <- first.ask("FETCH k") }()
--- a/testinstance/statements.go
+++ b/testinstance/statements.go
@@ -72,7 +72,7 @@
 	service := c.instance.service
 	service.mutex.Lock()
 	log, lost := c.instance.log, c.lostLead()
-	ran := Ran{ID: request.ID, Text: request.Text, Log: log, Rows: c.rowsOf(log, statement.Thing)}
+	ran := Ran{ID: request.ID, Text: request.Text, Log: log, Rows: c.rowsOf(log, statement.Key)}
 	var stamp string
 	lags := statement.HasAfter && !log.reaches(statement.After)
 	if !lags && !lost {
@@ -108,7 +108,7 @@
 }
 
 func (c *connection) put(request wire.Request, statement wire.Statement) (wire.Answer, error) {
-	write := Write{Thing: statement.Thing, Data: statement.Data}
+	write := Write{Thing: statement.Key, Data: statement.Data}
 	if c.state == wire.Idle {
 		return c.write(request, []Write{write}, true)
 	}
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -12,25 +12,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Sent says how much of a statement may have left when it failed.
-type Sent int
+// Delivery says how much of a statement may have left when it failed.
+type Delivery int
 
 const (
 	// NotSent: the statement hasn't been run and won't be.
-	NotSent Sent = iota
+	NotSent Delivery = iota
 	// MaybeRan: the statement was sent whole; it may have been run or may still be.
 	MaybeRan
 )
 
 // ConnError is a failure of a connection to an instance. The connection is closed.
 type ConnError struct {
-	Sent    Sent
-	Timeout bool // it took longer than the caller's context allowed
-	Cause   error
+	Delivery Delivery
+	Timeout  bool // it took longer than the caller's context allowed
+	Cause    error
 }
 
 func (e *ConnError) Error() string {
-	if e.Sent == NotSent {
+	if e.Delivery == NotSent {
 		return "not sent: " + e.Cause.Error()
 	}
 	return "no answer: " + e.Cause.Error()
@@ -39,19 +39,19 @@
 // Unwrap returns the cause.
 func (e *ConnError) Unwrap() error { return e.Cause }
 
-// Refused is an ERROR with which an instance answered CONNECT or one of the system's own statements.
-type Refused struct {
+// RefusedError is an ERROR with which an instance answered CONNECT or one of the system's own statements.
+type RefusedError struct {
 	Code Code
 	Text string
 }
 
-func (e *Refused) Error() string { return fmt.Sprintf("refused: %s %s", e.Code, e.Text) }
+func (e *RefusedError) Error() string { return fmt.Sprintf("refused: %s %s", e.Code, e.Text) }
 
-// SentOf tells from an error of Dial, Query or the other calls whether the statement may have run.
-func SentOf(err error) Sent {
+// DeliveryOf tells from an error of Dial, Query or the other calls whether the statement may have run.
+func DeliveryOf(err error) Delivery {
 	var failure *ConnError
 	if errors.As(err, &failure) {
-		return failure.Sent
+		return failure.Delivery
 	}
 	return NotSent
 }
@@ -76,15 +76,15 @@
 }
 
 // Dial connects to an instance and waits for its READY. instanceID may be empty: then any instance of the service is
-// good. Errors are *ConnError with NotSent, or *Refused.
+// good. Errors are *ConnError with NotSent, or *RefusedError.
 func Dial(ctx context.Context, address, service, who, instanceID string) (*Conn, error) {
 	dialer := net.Dialer{KeepAliveConfig: keepAlive}
 	network, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
-		return nil, &ConnError{Sent: NotSent, Timeout: ctx.Err() != nil, Cause: eris.Wrap(err, "dial")}
+		return nil, &ConnError{Delivery: NotSent, Timeout: ctx.Err() != nil, Cause: eris.Wrap(err, "dial")}
 	}
 	conn := &Conn{network: network, reader: NewReader(network)}
-	if err := conn.open(ctx, Connect{Database: service, Who: who, InstanceID: instanceID}); err != nil {
+	if err := conn.open(ctx, Connect{Database: service, User: who, InstanceID: instanceID}); err != nil {
 		conn.Close()
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 		return nil
 	case "ERROR":
 		code, text, _ := strings.Cut(fields, " ")
-		return &Refused{Code: Code(code), Text: text}
+		return &RefusedError{Code: Code(code), Text: text}
 	}
 	return c.failed(NotSent, eris.Wrapf(ErrMalformed, "%q to CONNECT", word))
 }
@@ -132,7 +132,7 @@
 	}
 	cancelled := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
-		c.Cut()
+		c.Interrupt()
 		close(cancelled)
 	})
 	return deadline, func() {
@@ -143,19 +143,19 @@
 }
 
 // failed closes the connection for good and makes the error for it.
-func (c *Conn) failed(sent Sent, cause error) error {
+func (c *Conn) failed(sent Delivery, cause error) error {
 	c.Close()
-	return &ConnError{Sent: sent, Timeout: errors.Is(cause, os.ErrDeadlineExceeded), Cause: cause}
+	return &ConnError{Delivery: sent, Timeout: errors.Is(cause, os.ErrDeadlineExceeded), Cause: cause}
 }
 
-// Query is QueryBy with the deadline of a context, and breaks off when it is cancelled. It costs more than QueryBy.
+// Query is QueryUntil with the deadline of a context, and breaks off when it is cancelled. It costs more than QueryUntil.
 func (c *Conn) Query(ctx context.Context, id, text string) (Answer, error) {
 	if ctx.Err() != nil {
-		return Answer{}, &ConnError{Sent: NotSent, Timeout: true, Cause: ctx.Err()}
+		return Answer{}, &ConnError{Delivery: NotSent, Timeout: true, Cause: ctx.Err()}
 	}
 	deadline, release := c.bind(ctx)
 	defer release()
-	answer, err := c.QueryBy(deadline, id, text)
+	answer, err := c.QueryUntil(deadline, id, text)
 	var failure *ConnError
 	if errors.As(err, &failure) && ctx.Err() != nil {
 		failure.Timeout = true
@@ -163,11 +163,11 @@
 	return answer, err
 }
 
-// QueryBy sends a statement and waits for its answer until the deadline (zero: for ever). An ERROR of the instance is
+// QueryUntil sends a statement and waits for its answer until the deadline (zero: for ever). An ERROR of the instance is
 // an answer, not an error. Errors are *ConnError; the connection is then closed.
-func (c *Conn) QueryBy(deadline time.Time, id, text string) (Answer, error) {
+func (c *Conn) QueryUntil(deadline time.Time, id, text string) (Answer, error) {
 	if c.spoiled {
-		return Answer{}, &ConnError{Sent: NotSent, Cause: errSpoiled}
+		return Answer{}, &ConnError{Delivery: NotSent, Cause: errSpoiled}
 	}
 	if err := c.network.SetDeadline(deadline); err != nil {
 		return Answer{}, c.failed(NotSent, eris.Wrap(err, "deadline"))
@@ -194,7 +194,7 @@
 const keptBuffer = 4096
 
 // sentAfterWrite: a line whose end has not left is never run.
-func sentAfterWrite(written, length int) Sent {
+func sentAfterWrite(written, length int) Delivery {
 	if written < length {
 		return NotSent
 	}
@@ -210,9 +210,9 @@
 // Position is the position that the instance named last, or "-".
 func (c *Conn) Position() string { return c.position }
 
-// Usable tells whether the connection can take a statement: it has not failed, the far end has not closed it and has
+// IsUsable tells whether the connection can take a statement: it has not failed, the far end has not closed it and has
 // sent nothing unasked. It costs one system call.
-func (c *Conn) Usable() bool {
+func (c *Conn) IsUsable() bool {
 	if c.spoiled {
 		return false
 	}
@@ -223,9 +223,9 @@
 	return true
 }
 
-// Cut closes the connection under whoever is using it; that caller gets an error. It may be called at any time by
+// Interrupt closes the connection under whoever is using it; that caller gets an error. It may be called at any time by
 // anyone.
-func (c *Conn) Cut() { _ = c.network.Close() }
+func (c *Conn) Interrupt() { _ = c.network.Close() }
 
 // Close ends the connection at once; an open transaction is rolled back by the instance.
 func (c *Conn) Close() {
--- a/wire/conn_test.go
+++ b/wire/conn_test.go
@@ -69,7 +69,7 @@
 	is.Equal(<-asked, "QUERY 5c FETCH 1a4")
 	is.Equal(answer, Answer{Rows: []string{"a b"}, Stamp: "7.1", State: InTransaction, Position: "3.2"})
 	is.Equal(conn.State(), InTransaction)
-	is.True(conn.Usable())
+	is.True(conn.IsUsable())
 }
 
 func TestStatusAndRefusal(t *testing.T) {
@@ -85,10 +85,10 @@
 	is.NoErr(err)
 	is.Equal(status, failover.Status{Term: 3, Received: failover.Position{Term: 3, Number: 1209}, TermHeld: 4, LagMs: 12, Busy: 2, Connections: 17})
 	_, err = conn.Status(context.Background())
-	var refused *Refused
+	var refused *RefusedError
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Code, Busy)
-	is.True(conn.Usable()) // a refusal doesn't spoil it
+	is.True(conn.IsUsable()) // a refusal doesn't spoil it
 }
 
 func TestRefusedConnectIsNotSent(t *testing.T) {
@@ -98,10 +98,10 @@
 		_, _ = network.Write([]byte("ERROR WRONGNODE i-2\r\n"))
 	})
 	_, err := Dial(context.Background(), address, "service", "who", "i-1")
-	var refused *Refused
+	var refused *RefusedError
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Code, WrongNode)
-	is.Equal(SentOf(err), NotSent)
+	is.Equal(DeliveryOf(err), NotSent)
 }
 
 // An answer that comes after the caller has given up must never be taken for the answer to another statement.
@@ -120,10 +120,10 @@
 	var failure *ConnError
 	is.True(errors.As(err, &failure))
 	is.True(failure.Timeout)
-	is.Equal(SentOf(err), MaybeRan)
+	is.Equal(DeliveryOf(err), MaybeRan)
 	_, err = conn.Query(context.Background(), "2", "FETCH a")
-	is.Equal(SentOf(err), NotSent)
-	is.True(!conn.Usable())
+	is.Equal(DeliveryOf(err), NotSent)
+	is.True(!conn.IsUsable())
 }
 
 func TestBrokenAfterSendingMayHaveRun(t *testing.T) {
@@ -133,7 +133,7 @@
 		_, _ = network.Write([]byte("COMPLETE 7.1\r\n")) // and no READY
 	}))
 	_, err := conn.Query(context.Background(), "1", "PUT a b")
-	is.Equal(SentOf(err), MaybeRan)
+	is.Equal(DeliveryOf(err), MaybeRan)
 	var failure *ConnError
 	is.True(errors.As(err, &failure))
 	is.True(!failure.Timeout)
@@ -148,9 +148,9 @@
 		_, _ = reader.ReadLine()
 	}))
 	_, err := conn.Query(ctx, "1", "PUT a b")
-	is.Equal(SentOf(err), MaybeRan)
+	is.Equal(DeliveryOf(err), MaybeRan)
 	_, err = conn.Query(ctx, "2", "PUT a b")
-	is.Equal(SentOf(err), NotSent)
+	is.Equal(DeliveryOf(err), NotSent)
 }
 
 func TestClosedOrUnaskedConnectionsAreNotUsable(t *testing.T) {
@@ -170,10 +170,10 @@
 			<-release
 		}))
 		<-done
-		for start := time.Now(); conn.Usable() && time.Since(start) < time.Second; {
+		for start := time.Now(); conn.IsUsable() && time.Since(start) < time.Second; {
 			time.Sleep(time.Millisecond)
 		}
-		is.True(!conn.Usable())
+		is.True(!conn.IsUsable())
 		close(release)
 	}
 }
@@ -192,11 +192,11 @@
 func TestWhatLeftDecidesWhatMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	whole := len(AppendQuery(nil, "1", "PUT a b"))
-	for takes, want := range map[int]Sent{0: NotSent, whole - 1: NotSent, whole: MaybeRan} {
+	for takes, want := range map[int]Delivery{0: NotSent, whole - 1: NotSent, whole: MaybeRan} {
 		near, _ := net.Pipe()
 		conn := &Conn{network: shortWriter{Conn: near, takes: takes}, reader: NewReader(strings.NewReader(""))}
-		_, err := conn.QueryBy(time.Time{}, "1", "PUT a b")
+		_, err := conn.QueryUntil(time.Time{}, "1", "PUT a b")
 		is.True(err != nil)
-		is.Equal(SentOf(err), want)
+		is.Equal(DeliveryOf(err), want)
 	}
 }
--- a/wire/message.go
+++ b/wire/message.go
@@ -17,8 +17,8 @@
 // MaxMessage is the most bytes a message may have, its CR LF included; the protocol sets it.
 const MaxMessage = 1 << 20
 
-// OwnID marks statements that the system sends for itself.
-const OwnID = "-"
+// InternalID marks statements that the system sends for itself.
+const InternalID = "-"
 
 // NoPosition stands where there is no position, and NoStamp where there is no stamp.
 const (
@@ -46,8 +46,8 @@
 	Malformed  Code = "MALFORMED"
 )
 
-// Promise tells whether the code promises that nothing of the try is kept.
-func (code Code) Promise() bool {
+// PromisesNoEffect tells whether the code promises that nothing of the try is kept.
+func (code Code) PromisesNoEffect() bool {
 	switch code {
 	case Busy, RolledBack, Lagging, ReadOnly, WrongNode, ConnLimit:
 		return true
@@ -71,7 +71,7 @@
 // Connect is the first message of a connection.
 type Connect struct {
 	Database   string // to an instance: the name of the service
-	Who        string
+	User       string
 	InstanceID string // to an instance, if one is expected
 }
 
@@ -96,7 +96,7 @@
 	if who == "" || (hasID && instanceID == "") {
 		return Connect{}, eris.Wrap(ErrMalformed, "CONNECT with an empty field")
 	}
-	return Connect{Database: database, Who: who, InstanceID: instanceID}, nil
+	return Connect{Database: database, User: who, InstanceID: instanceID}, nil
 }
 
 // ParseRequest reads a message after CONNECT, without its CR LF.
@@ -120,7 +120,7 @@
 	buffer = append(buffer, "CONNECT "...)
 	buffer = append(buffer, connect.Database...)
 	buffer = append(buffer, ' ')
-	buffer = append(buffer, connect.Who...)
+	buffer = append(buffer, connect.User...)
 	if connect.InstanceID != "" {
 		buffer = append(buffer, ' ')
 		buffer = append(buffer, connect.InstanceID...)
--- a/wire/message_test.go
+++ b/wire/message_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	connect, err := ParseConnect("CONNECT huvo11a tenant i-7f3a91c2")
 	is.NoErr(err)
-	is.Equal(connect, Connect{Database: "huvo11a", Who: "tenant", InstanceID: "i-7f3a91c2"})
+	is.Equal(connect, Connect{Database: "huvo11a", User: "tenant", InstanceID: "i-7f3a91c2"})
 	is.Equal(string(AppendConnect(nil, connect)), "CONNECT huvo11a tenant i-7f3a91c2\r\n")
 	connect, err = ParseConnect("CONNECT lepu270 u3f1")
 	is.NoErr(err)
@@ -50,12 +50,12 @@
 		"BEGIN FETCH":            {Verb: Begin, ReadOnly: true},
 		"COMMIT":                 {Verb: Commit},
 		"ABORT":                  {Verb: Abort},
-		"FETCH 1a4":              {Verb: Fetch, Thing: "1a4"},
-		"PUT 1a4 x y":            {Verb: Put, Thing: "1a4", Data: "x y"},
+		"FETCH 1a4":              {Verb: Fetch, Key: "1a4"},
+		"PUT 1a4 x y":            {Verb: Put, Key: "1a4", Data: "x y"},
 		"SETOPT zone hall noord": {Verb: SetOpt, Name: "zone", Value: "hall noord"},
 		"PREPARE s1 PUT q2c":     {Verb: Prepare, Name: "s1", Kind: Put, Shape: "q2c"},
-		"EXECUTE s1 1a4":         {Verb: Execute, Name: "s1", Thing: "1a4"},
-		"EXECUTE s1 1a4 x y":     {Verb: Execute, Name: "s1", Thing: "1a4", Data: "x y", HasData: true},
+		"EXECUTE s1 1a4":         {Verb: Execute, Name: "s1", Key: "1a4"},
+		"EXECUTE s1 1a4 x y":     {Verb: Execute, Name: "s1", Key: "1a4", Data: "x y", HasData: true},
 		"RELEASE s1":             {Verb: Release, Name: "s1"},
 	} {
 		if got, err := ParseStatement(text); err != nil || got != want {
@@ -80,7 +80,7 @@
 	is := is.New(t)
 	statement, err := ParseInstanceStatement("AFTERPOS 3.1207 FETCH 1a4")
 	is.NoErr(err)
-	is.Equal(statement, Statement{Verb: Fetch, Thing: "1a4", HasAfter: true, After: failover.Position{Term: 3, Number: 1207}})
+	is.Equal(statement, Statement{Verb: Fetch, Key: "1a4", HasAfter: true, After: failover.Position{Term: 3, Number: 1207}})
 	statement, err = ParseInstanceStatement("PAUSE 4")
 	is.NoErr(err)
 	is.Equal(statement, Statement{Verb: Pause, Term: 4})
@@ -117,10 +117,10 @@
 func TestPromises(t *testing.T) {
 	is := is.New(t)
 	for _, code := range []Code{Busy, RolledBack, Lagging, ReadOnly, WrongNode, ConnLimit} {
-		is.True(code.Promise()) // each of them
+		is.True(code.PromisesNoEffect()) // each of them
 	}
 	for _, code := range []Code{InDoubt, Timeout, ExecFail, NoStmt, NoDB, Malformed} {
-		is.True(!code.Promise()) // none of them
+		is.True(!code.PromisesNoEffect()) // none of them
 	}
 }
 
--- a/wire/statement.go
+++ b/wire/statement.go
@@ -45,7 +45,7 @@
 	Value    string            // of SETOPT
 	Kind     Verb              // of PREPARE: Fetch or Put
 	Shape    string            // of PREPARE
-	Thing    string            // of FETCH, PUT, EXECUTE
+	Key      string            // of FETCH, PUT, EXECUTE
 	Data     string            // of PUT, EXECUTE
 	HasData  bool              // of EXECUTE
 	Term     uint64            // of PAUSE, STEPDOWN
@@ -65,11 +65,11 @@
 		statement.ReadOnly = fields == string(Fetch)
 		whole = !hasFields || statement.ReadOnly
 	case Fetch:
-		statement.Thing = fields
+		statement.Key = fields
 		whole = fields != ""
 	case Put:
-		statement.Thing, statement.Data, whole = strings.Cut(fields, " ")
-		whole = whole && statement.Thing != ""
+		statement.Key, statement.Data, whole = strings.Cut(fields, " ")
+		whole = whole && statement.Key != ""
 	case SetOpt:
 		statement.Name, statement.Value, whole = strings.Cut(fields, " ")
 		whole = whole && statement.Name != ""
@@ -97,8 +97,8 @@
 func (s *Statement) readExecute(fields string) bool {
 	name, rest, _ := strings.Cut(fields, " ")
 	s.Name = name
-	s.Thing, s.Data, s.HasData = strings.Cut(rest, " ")
-	return name != "" && s.Thing != ""
+	s.Key, s.Data, s.HasData = strings.Cut(rest, " ")
+	return name != "" && s.Key != ""
 }
 
 // ParseInstanceStatement reads a statement as an instance takes it: also the system's own, and AFTERPOS.
@@ -136,8 +136,8 @@
 	return statement, nil
 }
 
-// AfterText is the text of a read or a BEGIN that must see a position.
-func AfterText(position failover.Position, text string) string {
+// AfterPositionText is the text of a read or a BEGIN that must see a position.
+func AfterPositionText(position failover.Position, text string) string {
 	return afterPos + " " + FormatPosition(position) + " " + text
 }
 
--- a/wire/status.go
+++ b/wire/status.go
@@ -81,7 +81,7 @@
 	return strings.Join(fields, " ")
 }
 
-// Status asks the instance who it is. Errors are *ConnError or *Refused.
+// Status asks the instance who it is. Errors are *ConnError or *RefusedError.
 func (c *Conn) Status(ctx context.Context) (failover.Status, error) {
 	return c.control(ctx, "STATUS")
 }
@@ -125,12 +125,12 @@
 
 // own sends one of the system's own statements.
 func (c *Conn) own(ctx context.Context, text string) (Answer, error) {
-	answer, err := c.Query(ctx, OwnID, text)
+	answer, err := c.Query(ctx, InternalID, text)
 	if err != nil {
 		return Answer{}, err
 	}
 	if answer.Code != "" {
-		return Answer{}, &Refused{Code: answer.Code, Text: answer.Text}
+		return Answer{}, &RefusedError{Code: answer.Code, Text: answer.Text}
 	}
 	return answer, nil
 }
