--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -47,8 +47,8 @@
 	change     failover.Change
 	giveUp     state.GiveUp
 
-	verdict state.Verdict // on a configuration, once applied
-	refusal string        // why a give-up is refused; "" if it isn't
+	verdict state.OrderOutcome // on a configuration, once applied
+	refusal string             // why a give-up is refused; "" if it isn't
 }
 
 // batch is a set of commands that were applied together and proposed as one change.
@@ -129,11 +129,11 @@
 	count := min(len(c.term.commands), maxBatchCommands)
 	batch := &batch{request: c.nextRequest(), started: c.now, commands: c.term.commands[:count:count]}
 	c.term.commands = c.term.commands[count:]
-	transaction := state.NewTransaction(c.node).Lacking(c.settings.DisabledGuards)
+	transaction := state.NewTransaction(c.node).DisableGuards(c.settings.DisabledGuards)
 	for index := range batch.commands {
 		c.applyCommand(transaction, &batch.commands[index])
 	}
-	for _, broken := range transaction.Broken() {
+	for _, broken := range transaction.Violations() {
 		c.logEvent(invariant.Broken, broken)
 	}
 	mutations := transaction.Mutations()
@@ -168,7 +168,7 @@
 	case giveUpCopies:
 		c.applyGiveUp(transaction, command)
 	case drainRestoredInstances:
-		transaction.DoubtInstances()
+		transaction.MarkInstancesDraining()
 		c.logEvent("restored", "the state is from a dump: all instances count as draining until they restart")
 	}
 }
@@ -317,7 +317,7 @@
 // isDrainCommitted tells whether the committed state has an instance as draining or as having left, so that gateways stop using it.
 func (c *Controller) isDrainCommitted(id string) bool {
 	instance, found := state.InstanceByID(c.node, id)
-	return found && (instance.Draining || instance.SaidFarewell())
+	return found && (instance.Draining || instance.HasAnnouncedLeave())
 }
 
 func configurationReply(command command) Reply {
--- a/control/controller/heartbeats.go
+++ b/control/controller/heartbeats.go
@@ -57,7 +57,7 @@
 	if c.term == nil {
 		return
 	}
-	transaction := state.NewTransaction(c.node).Lacking(c.settings.DisabledGuards)
+	transaction := state.NewTransaction(c.node).DisableGuards(c.settings.DisabledGuards)
 	for _, accepted := range forwarded {
 		record, found := state.InstanceByID(c.node, accepted.InstanceID)
 		if !found {
--- a/control/registry/heartbeat.go
+++ b/control/registry/heartbeat.go
@@ -82,7 +82,7 @@
 // IsPlain tells whether a beat of an instance with this record says nothing that must be recorded, or looked at closer: a backup may take it and
 // tell the primary.
 func (b Heartbeat) IsPlain(record state.Instance) bool {
-	isReady := b.OperState == Ready && !record.Draining && !record.Left && !record.SaidFarewell()
+	isReady := b.OperState == Ready && !record.Draining && !record.Left && !record.HasAnnouncedLeave()
 	return isReady && b.CallSeq > record.CallSeq && record.Instance == instanceOf(b)
 }
 
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -100,7 +100,7 @@
 // mayReturn tells whether a beat that isn't late brings back an instance that left. One that said itself that it leaves is back
 // only in another life.
 func (r *Registry) mayReturn(reader state.Reader, record state.Instance, order order, beat Heartbeat) bool {
-	if record.SaidFarewell() && order != reborn && !r.lacking.Lacks(guard.EndIsFinal) {
+	if record.HasAnnouncedLeave() && order != reborn && !r.lacking.Lacks(guard.EndIsFinal) {
 		return false
 	}
 	return len(othersAt(reader, instanceOf(beat))) == 0
@@ -109,7 +109,7 @@
 // noteDrainOfDeparted records that an instance drains that was taken for gone and can't come back now. Its drain is acknowledged, so
 // it must not be used when it can.
 func noteDrainOfDeparted(tx *state.Transaction, record state.Instance, beat Heartbeat) {
-	if beat.OperState != Draining || record.Draining || record.SaidFarewell() {
+	if beat.OperState != Draining || record.Draining || record.HasAnnouncedLeave() {
 		return
 	}
 	record.Draining = true
@@ -139,7 +139,7 @@
 		return
 	}
 	record, known := state.InstanceByID(tx, id)
-	if known && record.SaidFarewell() {
+	if known && record.HasAnnouncedLeave() {
 		return
 	}
 	if known && !record.Left && !record.Draining && !r.lacking.Lacks(guard.LeaverStays) {
--- a/control/registry/registry_test.go
+++ b/control/registry/registry_test.go
@@ -183,10 +183,10 @@
 		t.Fatal("a change is not told")
 	}
 	after, _ := state.InstanceByID(transaction, beat.InstanceID)
-	if before.Draining && !after.Draining || before.SaidFarewell() && !after.SaidFarewell() {
+	if before.Draining && !after.Draining || before.HasAnnouncedLeave() && !after.HasAnnouncedLeave() {
 		t.Fatalf("beat %d undid the end said until beat %d", beat.CallSeq, before.CallSeq)
 	}
-	if broken := transaction.Broken(); len(broken) > 0 {
+	if broken := transaction.Violations(); len(broken) > 0 {
 		t.Fatalf("the registry asked for what must not be: %v", broken)
 	}
 	if commit {
@@ -211,7 +211,7 @@
 			}
 		}
 		record, known := state.InstanceByID(beats.memory, "a")
-		if leavesAfter < len(sent) && (!known || !record.SaidFarewell()) {
+		if leavesAfter < len(sent) && (!known || !record.HasAnnouncedLeave()) {
 			t.Fatalf("recorded %+v after a leave", record)
 		}
 	})
--- a/control/state/api.go
+++ b/control/state/api.go
@@ -21,16 +21,16 @@
 	Entries(prefix string) []replication.Mutation // sorted by key
 }
 
-// Verdict on an order.
-type Verdict int
+// OrderOutcome says what became of an order.
+type OrderOutcome int
 
 const (
 	// InForce: the order is the newest configuration once the change is committed.
-	InForce Verdict = iota
+	InForce OrderOutcome = iota
 	// Repeated: this order was taken before.
 	Repeated
-	// Overtaken: a higher number is in force; the number is taken now, and nothing else changes.
-	Overtaken
+	// Superseded: a higher number is in force; the number is taken now, and nothing else changes.
+	Superseded
 	// Conflict: the number is taken by another content.
 	Conflict
 )
@@ -49,15 +49,15 @@
 	Life      uint64 // rises when the instance is known to have been started anew, so that an end it has said is over
 }
 
-// SaidFarewell tells whether an instance has said that it leaves, which was acknowledged. Records of earlier versions have no Farewell.
-func (i Instance) SaidFarewell() bool { return i.Farewell || i.Left && !i.Lost && !i.Displaced }
+// HasAnnouncedLeave tells whether an instance has said that it leaves, which was acknowledged. Records of earlier versions have no Farewell.
+func (i Instance) HasAnnouncedLeave() bool { return i.Farewell || i.Left && !i.Lost && !i.Displaced }
 
 // takesBackEnd tells whether a record would take back an end that may have been acknowledged: a drain or a leave is final in a life.
 func (i Instance) takesBackEnd(next Instance) bool {
 	if next.Life > i.Life {
 		return false
 	}
-	if i.SaidFarewell() && (!next.SaidFarewell() || i.Left && !next.Left) {
+	if i.HasAnnouncedLeave() && (!next.HasAnnouncedLeave() || i.Left && !next.Left) {
 		return true
 	}
 	return i.Draining && !next.Draining
--- a/control/state/order.go
+++ b/control/state/order.go
@@ -27,7 +27,7 @@
 
 // PlaceOrder decides on an order and records it. The same decision on the changed state gives Repeated, so that an
 // order sent again is acknowledged again by whichever controller holds the state then.
-func (t *Transaction) PlaceOrder(order configuration.Order) Verdict {
+func (t *Transaction) PlaceOrder(order configuration.Order) OrderOutcome {
 	if taken, found := read[orderRecord](t, orderKey(order.Number)); found {
 		if taken.Digest == order.Digest {
 			return Repeated
@@ -37,7 +37,7 @@
 	head, inForce := read[configurationHead](t, configurationKey)
 	t.recordOrder(order)
 	if inForce && order.Number <= head.Number {
-		return Overtaken
+		return Superseded
 	}
 	t.putConfiguration(order)
 	return InForce
--- a/control/state/order_test.go
+++ b/control/state/order_test.go
@@ -26,7 +26,7 @@
 }
 
 // place decides on an order in a transaction of its own.
-func place(memory *statetest.Memory, order configuration.Order) state.Verdict {
+func place(memory *statetest.Memory, order configuration.Order) state.OrderOutcome {
 	transaction := state.NewTransaction(memory)
 	verdict := transaction.PlaceOrder(order)
 	memory.Commit(transaction)
@@ -39,7 +39,7 @@
 	for _, step := range []struct {
 		number  int64
 		content string
-		verdict state.Verdict
+		verdict state.OrderOutcome
 		inForce int64
 	}{
 		{30, "a", state.InForce, 30},
@@ -47,7 +47,7 @@
 		{30, "b", state.Conflict, 30},
 		{34, "c", state.InForce, 34},
 		{30, "a", state.Repeated, 34}, // also after a higher number
-		{31, "d", state.Overtaken, 34},
+		{31, "d", state.Superseded, 34},
 		{31, "d", state.Repeated, 34},
 		{31, "c", state.Conflict, 34}, // the content in force under another number is another content
 		{34, "d", state.Conflict, 34},
@@ -76,7 +76,7 @@
 	transaction := state.NewTransaction(statetest.NewMemory())
 	is.Equal(transaction.PlaceOrder(orderOf(5, "a")), state.InForce)
 	is.Equal(transaction.PlaceOrder(orderOf(5, "b")), state.Conflict)
-	is.Equal(transaction.PlaceOrder(orderOf(4, "b")), state.Overtaken)
+	is.Equal(transaction.PlaceOrder(orderOf(4, "b")), state.Superseded)
 	number, body, found := state.Configuration(transaction)
 	is.True(found)
 	is.Equal(number, int64(5))
@@ -92,7 +92,7 @@
 	is.Equal(len(memory.Entries("order/")), state.MaxOrders)
 	is.Equal(place(memory, orderOf(11, "a")), state.Repeated) // the lowest that is kept
 	is.Equal(place(memory, orderOf(11, "b")), state.Conflict)
-	is.Equal(place(memory, orderOf(10, "b")), state.Overtaken) // forgotten
+	is.Equal(place(memory, orderOf(10, "b")), state.Superseded) // forgotten
 	is.Equal(len(memory.Entries("order/")), state.MaxOrders)
 	is.Equal(place(memory, orderOf(11, "a")), state.Repeated) // not pushed out by what is forgotten
 	is.NoErr(state.Verify(memory))
--- a/control/state/state_test.go
+++ b/control/state/state_test.go
@@ -159,7 +159,7 @@
 			put(memory, one.before)
 			transaction := state.NewTransaction(memory)
 			transaction.PutInstance(one.next)
-			is.Equal(len(transaction.Broken()) > 0, one.refused)
+			is.Equal(len(transaction.Violations()) > 0, one.refused)
 			kept, _ := state.InstanceByID(transaction, "i")
 			if one.refused {
 				is.Equal(kept, one.before)
--- a/control/state/transaction.go
+++ b/control/state/transaction.go
@@ -24,8 +24,8 @@
 	return &Transaction{base: reader, changed: make(map[string]replication.Mutation)}
 }
 
-// Lacking takes guards out, for tests.
-func (t *Transaction) Lacking(guards guard.Set) *Transaction {
+// DisableGuards disables rules, for tests that show what each of them prevents.
+func (t *Transaction) DisableGuards(guards guard.Set) *Transaction {
 	t.lacking = guards
 	return t
 }
@@ -60,8 +60,8 @@
 	return merged
 }
 
-// Broken returns the invariants that commands would have broken.
-func (t *Transaction) Broken() []string { return t.broken }
+// Violations returns the invariants that commands would have broken.
+func (t *Transaction) Violations() []string { return t.broken }
 
 // Mutations returns what was changed, sorted by key. It is empty if everything is as it was.
 func (t *Transaction) Mutations() []replication.Mutation {
