--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -47,8 +47,8 @@
 	change     failover.Change
 	giveUp     state.GiveUp
 
-	verdict state.OrderOutcome // on a configuration, once applied
-	refusal string             // why a give-up is refused; "" if it isn't
+	orderOutcome state.OrderOutcome // on a configuration, once applied
+	refusal      string             // why a give-up is refused; "" if it isn't
 }
 
 // batch is a set of commands that were applied together and proposed as one change.
@@ -152,7 +152,7 @@
 func (c *Controller) applyCommand(transaction *state.Transaction, command *command) {
 	switch command.kind {
 	case replaceConfiguration:
-		command.verdict = transaction.PlaceOrder(command.order)
+		command.orderOutcome = transaction.PlaceOrder(command.order)
 	case recordHeartbeat:
 		c.applyHeartbeat(transaction, command.heartbeat)
 	case markInstanceLeft:
@@ -321,7 +321,7 @@
 }
 
 func configurationReply(command command) Reply {
-	if command.verdict == state.Conflict {
+	if command.orderOutcome == state.Conflict {
 		text := "configRevision " + strconv.FormatInt(command.order.Number, 10) + " is taken by another content"
 		return Reply{Call: command.call, Status: http.StatusConflict, Body: errorBody(text)}
 	}
