--- a/control/replication/election.go
+++ b/control/replication/election.go
@@ -235,7 +235,7 @@
 	switch {
 	case n.candidacy != nil && message.Request == n.candidacy.request && message.Epoch == n.candidacy.epoch:
 		n.onCandidacyRefusal(refusal)
-	case n.leadership != nil && n.leadership.asked(message):
+	case n.leadership != nil && n.leadership.hasAsked(message):
 		n.onPrimaryRefusal(message)
 	default:
 		n.drop()
--- a/control/replication/guards_test.go
+++ b/control/replication/guards_test.go
@@ -24,21 +24,21 @@
 	for _, guard := range cases {
 		t.Run(guard.name, func(t *testing.T) {
 			t.Parallel()
-			found := ""
+			violation := ""
 			if guard.scenario != "" {
-				found = breakScenario(guard.scenario, guard.disabled)
+				violation = findScenarioViolation(guard.scenario, guard.disabled)
 			} else {
-				found = breakRandomWorlds(guard.disabled)
+				violation = findRandomViolation(guard.disabled)
 			}
-			if found == "" {
+			if violation == "" {
 				t.Fatal("no violation found with this guard disabled")
 			}
-			t.Log(found)
+			t.Log(violation)
 		})
 	}
 }
 
-func breakScenario(name string, disabled disabledGuards) string {
+func findScenarioViolation(name string, disabled disabledGuards) string {
 	for seed := int64(1); seed <= 40; seed++ {
 		if err := playScenario("testdata/"+name+".txt", seed, disabled, nil); err != nil {
 			return err.Error()
@@ -47,7 +47,7 @@
 	return ""
 }
 
-func breakRandomWorlds(disabled disabledGuards) string {
+func findRandomViolation(disabled disabledGuards) string {
 	for seed := int64(1); seed <= 300; seed++ {
 		for _, shape := range shapes() {
 			if violation := randomWorld(seed, shape, disabled, faults()); violation != "" {
--- a/control/replication/leadership.go
+++ b/control/replication/leadership.go
@@ -31,8 +31,8 @@
 	confirms       []pendingConfirm
 }
 
-// asked reports whether the message answers a round of this leadership.
-func (l *leadership) asked(answer Message) bool {
+// hasAsked reports whether the message answers a round of this leadership.
+func (l *leadership) hasAsked(answer Message) bool {
 	if answer.Epoch != l.epoch || answer.Request == 0 || answer.Request > l.round {
 		return false
 	}
--- a/control/replication/node_test.go
+++ b/control/replication/node_test.go
@@ -180,7 +180,7 @@
 	primary := w.primary()
 	rounds := primary.node.leadership.round
 	for request := uint64(1); request <= 50; request++ {
-		w.checker.asked(w, request)
+		w.checker.recordConfirm(w, request)
 		w.step(primary, Confirm{Request: request})
 	}
 	w.run(60 * time.Millisecond)
--- a/control/replication/primary.go
+++ b/control/replication/primary.go
@@ -71,7 +71,7 @@
 
 func (n *Node) onAppendAnswer(message Message) {
 	leadership := n.leadership
-	if leadership == nil || !leadership.asked(message) {
+	if leadership == nil || !leadership.hasAsked(message) {
 		n.drop()
 		return
 	}
--- a/control/replication/scenario_test.go
+++ b/control/replication/scenario_test.go
@@ -15,10 +15,10 @@
 //	nodes COUNT seeds COUNT tolerance COUNT
 //
 // Nodes are called a, b, c and so on; the first ones are the seeds. Times are written as 300ms or 2s. In place of NODE, most
-// commands also take the word primary.
+// commands also take the word primary. An incarnation is the name of a node and the number of its disk, such as a1.
 //
 //	run TIME                      advance the time
-//	await NODE EVENT [TIME]       until the node logs this event, for 10s at most
+//	await NODE EVENT              run until the node logs an event whose name and text begin with EVENT, for 10s at most
 //	cut A>B | cut A-B             cut the link one way, or both ways
 //	join A>B | join A-B           restore it
 //	isolate NODE...               cut these nodes off from all others
@@ -41,11 +41,11 @@
 //	client on|off
 //	value BYTES                   size of an order
 //	expect primary NODE | none
-//	expect voters NODE... | copies NODE...   of the newest view that the primary has committed
+//	expect voters INCARNATION... | copies INCARNATION...   of the newest view that the primary has committed
 //	expect voter-count COUNT
 //	expect all-know-primary       all running nodes send callers to the primary
 //	expect orders COUNT within TIME
-//	expect events NODE EVENT COUNT
+//	expect events NODE EVENT COUNT   the node has logged this event so often
 //	expect ended NODE
 //	check                         check that the primary has all acknowledged orders
 //	settle                        heal; within five seconds orders must be acknowledged, and none may be lost
--- a/control/replication/world_test.go
+++ b/control/replication/world_test.go
@@ -109,8 +109,8 @@
 	return w
 }
 
-func (w *world) addMachine(name string, first bool) *machine {
-	machine := &machine{name: name, address: name + ":1", firstStart: first}
+func (w *world) addMachine(name string, firstStart bool) *machine {
+	machine := &machine{name: name, address: name + ":1", firstStart: firstStart}
 	machine.disk.delay = time.Millisecond
 	w.emptyDisk(machine)
 	w.machines = append(w.machines, machine)
@@ -363,7 +363,7 @@
 		}
 	}
 	for _, decision := range effects.Decisions {
-		w.checker.decided(w, machine, decision)
+		w.checker.checkDecision(w, machine, decision)
 	}
 	if machine.isLeaving && machine.node.HasLeft() {
 		w.kill(machine)
@@ -434,13 +434,13 @@
 
 func (w *world) confirm(machine *machine) {
 	w.requests++
-	w.checker.asked(w, w.requests)
+	w.checker.recordConfirm(w, w.requests)
 	w.step(machine, Confirm{Request: w.requests})
 }
 
 func (w *world) propose(machine *machine) {
 	w.requests++
-	w.checker.ordered(w.requests)
+	w.checker.recordOrder(w.requests)
 	key := w.checker.keys[w.requests]
 	w.step(machine, Propose{Request: w.requests, Mutations: []Mutation{
 		{Key: key, Value: make([]byte, max(w.orderBytes, 1))},
@@ -524,11 +524,11 @@
 	return checker{orderAt: map[uint64]uint64{}, acknowledgedBefore: map[uint64]int{}, isOrder: map[uint64]bool{}, keys: map[uint64]string{}}
 }
 
-func (c *checker) asked(w *world, request uint64) {
+func (c *checker) recordConfirm(w *world, request uint64) {
 	c.acknowledgedBefore[request] = len(c.acknowledged)
 }
 
-func (c *checker) ordered(request uint64) {
+func (c *checker) recordOrder(request uint64) {
 	c.isOrder[request] = true
 	c.keys[request] = fmt.Sprintf("order/%06d", request)
 	c.acknowledgedBefore[request] = len(c.acknowledged)
@@ -540,12 +540,12 @@
 	}
 }
 
-func (c *checker) decided(w *world, machine *machine, decision Decision) {
+func (c *checker) checkDecision(w *world, machine *machine, decision Decision) {
 	if decision.Outcome != Done {
 		return
 	}
 	if c.isOrder[decision.Request] {
-		c.orderDone(w, machine, decision.Request)
+		c.checkOrder(w, machine, decision.Request)
 		return
 	}
 	c.confirmsDone++
@@ -557,7 +557,7 @@
 	}
 }
 
-func (c *checker) orderDone(w *world, machine *machine, order uint64) {
+func (c *checker) checkOrder(w *world, machine *machine, order uint64) {
 	c.ordersDone++
 	sequence := machine.node.Stamp().Sequence
 	if other, taken := c.orderAt[sequence]; taken && other != order {
