--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -31,10 +31,10 @@
 	replaceConfiguration commandKind = iota
 	recordHeartbeat
 	markInstanceLeft
-	expireInstances
-	changeFailover
-	giveUpCopies
-	drainRestoredInstances
+	expireInstances        // declares instances lost that have been silent for too long
+	changeFailover         // records what the failover manager has decided
+	giveUpCopies           // gives up the commits that only the lost copies of a service may hold
+	drainRestoredInstances // marks all instances of a state that was restored from a dump as draining
 )
 
 // command may change the control state. The primary applies commands in the order of their arrival.
@@ -47,8 +47,8 @@
 	change     failover.Change
 	giveUp     state.GiveUp
 
-	verdict state.OrderOutcome // on a configuration, once applied
-	refusal string             // why a give-up is refused; "" if it isn't
+	orderOutcome state.OrderOutcome // on a configuration, once applied
+	refusal      string             // why a give-up is refused; "" if it isn't
 }
 
 // batch is a set of commands that were applied together and proposed as one change.
@@ -102,7 +102,7 @@
 		c.dropClosedCommands()
 	}
 	if len(c.term.commands) >= maxQueuedCommands {
-		c.unavailable(command.call)
+		c.replyUnavailable(command.call)
 		return
 	}
 	c.enqueue(command)
@@ -152,7 +152,7 @@
 func (c *Controller) applyCommand(transaction *state.Transaction, command *command) {
 	switch command.kind {
 	case replaceConfiguration:
-		command.verdict = transaction.PlaceOrder(command.order)
+		command.orderOutcome = transaction.PlaceOrder(command.order)
 	case recordHeartbeat:
 		c.applyHeartbeat(transaction, command.heartbeat)
 	case markInstanceLeft:
@@ -281,7 +281,7 @@
 		c.stepFailover(failover.ChangeDecided{Request: command.change.Request})
 		return
 	}
-	c.unavailable(command.call)
+	c.replyUnavailable(command.call)
 }
 
 // finishCommand finishes a command whose change is committed, or that needed none.
@@ -308,7 +308,7 @@
 func (c *Controller) finishHeartbeat(command command) {
 	heartbeat := command.heartbeat
 	if heartbeat.OperState == registry.Draining && !c.isDrainCommitted(heartbeat.InstanceID) {
-		c.unavailable(command.call)
+		c.replyUnavailable(command.call)
 		return
 	}
 	c.reply(Reply{Call: command.call, Status: http.StatusOK, Body: heartbeatReplyBody(c.heartbeatTarget(heartbeat))})
@@ -321,7 +321,7 @@
 }
 
 func configurationReply(command command) Reply {
-	if command.verdict == state.Conflict {
+	if command.orderOutcome == state.Conflict {
 		text := "configRevision " + strconv.FormatInt(command.order.Number, 10) + " is taken by another content"
 		return Reply{Call: command.call, Status: http.StatusConflict, Body: errorBody(text)}
 	}
