--- a/control/access/access.go
+++ b/control/access/access.go
@@ -33,18 +33,18 @@
 	return table
 }
 
-// Required tells whether routes take known keys only, but for those that need none.
-func (t Table) Required() bool { return t.required }
+// RequiresKeys tells whether routes take known keys only, but for those that need none.
+func (t Table) RequiresKeys() bool { return t.required }
 
-// Admit tells as whose tenant a client with this key uses the route; "": as nobody's, where no key is needed.
-func (t Table) Admit(route configuration.Route, key Key) (tenant string, admitted bool) {
+// Authorize tells as whose tenant a client with this key uses the route; "": as nobody's, where no key is needed.
+func (t Table) Authorize(route configuration.Route, key Key) (tenant string, admitted bool) {
 	tenant, known := t.tenants[key]
 	return tenant, known || !t.required || route.NoAuth
 }
 
-// Admits tells whether a client with this key still uses the route as the same tenant.
-func (t Table) Admits(route configuration.Route, key Key, tenant string) bool {
-	now, admitted := t.Admit(route, key)
+// AuthorizesAs tells whether a client with this key still uses the route as the same tenant.
+func (t Table) AuthorizesAs(route configuration.Route, key Key, tenant string) bool {
+	now, admitted := t.Authorize(route, key)
 	return admitted && now == tenant
 }
 
@@ -55,28 +55,28 @@
 	Tenant string // for whom it runs; "": nobody's
 }
 
-// StillAdmits tells whether a grant still holds, as far as can be known: outside the lease, inside a transaction, a table is trusted for as
+// IsGrantValid tells whether a grant still holds, as far as can be known: outside the lease, inside a transaction, a table is trusted for as
 // long as keys that were taken away may be of use.
-func (t Table) StillAdmits(grant Grant, trust Trust, now time.Duration) bool {
+func (t Table) IsGrantValid(grant Grant, trust Trust, now time.Duration) bool {
 	needsKey := t.required && !grant.Route.NoAuth
-	if needsKey && !trust.Lasts(now) {
+	if needsKey && !trust.IsValid(now) {
 		return false
 	}
-	return t.Admits(grant.Route, grant.Key, grant.Tenant)
+	return t.AuthorizesAs(grant.Route, grant.Key, grant.Tenant)
 }
 
 // Trust is for how long the keys of a table may be taken for good without news.
 type Trust struct {
 	HeardAt time.Duration // when the question was sent whose answer came last
-	Lasting time.Duration // how long after it; 0: for as long as nothing else is heard
+	Duration time.Duration // how long after it; 0: for as long as nothing else is heard
 }
 
-// Lasts tells whether the keys may still be taken for good.
-func (t Trust) Lasts(now time.Duration) bool { return t.Lasting <= 0 || now < t.HeardAt+t.Lasting }
+// IsValid tells whether the keys may still be taken for good.
+func (t Trust) IsValid(now time.Duration) bool { return t.Duration <= 0 || now < t.HeardAt+t.Duration }
 
 // trustedPercent is the part of the time in which a key that was taken away is to be of no use, after which whoever has heard nothing
 // runs no statement with a key any more. The rest is for clocks, and for tables that are made a moment after a commit.
 const trustedPercent = 90
 
-// LastingFor gives the Lasting of a Trust where a key is to be of no use so long after it was taken away; 0: no bound.
-func LastingFor(revoke time.Duration) time.Duration { return revoke * trustedPercent / 100 }
+// TrustDuration gives the Duration of a Trust where a key is to be of no use so long after it was taken away; 0: no bound.
+func TrustDuration(revoke time.Duration) time.Duration { return revoke * trustedPercent / 100 }
--- a/control/access/access_test.go
+++ b/control/access/access_test.go
@@ -18,26 +18,26 @@
 	is := is.New(t)
 	route := configuration.Route{Name: "r"}
 	held := tableOf(configuration.Tenant{Name: "a", Keys: []string{"x"}}, configuration.Tenant{Name: "b"})
-	tenant, admitted := held.Admit(route, NewKey("x"))
+	tenant, admitted := held.Authorize(route, NewKey("x"))
 	is.True(admitted)
 	is.Equal(tenant, "a")
 	grant := Grant{Route: route, Key: NewKey("x"), Tenant: tenant}
 	always := Trust{}
-	is.True(held.StillAdmits(grant, always, time.Hour))
+	is.True(held.IsGrantValid(grant, always, time.Hour))
 	moved := tableOf(configuration.Tenant{Name: "a"}, configuration.Tenant{Name: "b", Keys: []string{"x"}})
-	is.True(!moved.StillAdmits(grant, always, 0))
-	is.True(!tableOf().StillAdmits(grant, always, 0))
-	is.True(tableOf().StillAdmits(Grant{Route: configuration.Route{NoAuth: true}, Key: NewKey("x")}, always, 0))
-	is.True(!Table{}.StillAdmits(grant, always, 0)) // a system without tenants: it would go on as nobody's
-	is.True(Table{}.StillAdmits(Grant{Route: route, Key: NewKey("x")}, Trust{Lasting: time.Second}, time.Hour))
-	_, admitted = held.Admit(route, NewKey("y"))
+	is.True(!moved.IsGrantValid(grant, always, 0))
+	is.True(!tableOf().IsGrantValid(grant, always, 0))
+	is.True(tableOf().IsGrantValid(Grant{Route: configuration.Route{NoAuth: true}, Key: NewKey("x")}, always, 0))
+	is.True(!Table{}.IsGrantValid(grant, always, 0)) // a system without tenants: it would go on as nobody's
+	is.True(Table{}.IsGrantValid(Grant{Route: route, Key: NewKey("x")}, Trust{Duration: time.Second}, time.Hour))
+	_, admitted = held.Authorize(route, NewKey("y"))
 	is.True(!admitted)
 }
 
 func TestTrustEndsBeforeTheBound(t *testing.T) {
 	is := is.New(t)
-	trust := Trust{HeardAt: time.Second, Lasting: LastingFor(5 * time.Second)}
-	is.True(trust.Lasts(5500*time.Millisecond - 1))
-	is.True(!trust.Lasts(5500 * time.Millisecond))
-	is.True(Trust{Lasting: LastingFor(0)}.Lasts(time.Hour))
+	trust := Trust{HeardAt: time.Second, Duration: TrustDuration(5 * time.Second)}
+	is.True(trust.IsValid(5500*time.Millisecond - 1))
+	is.True(!trust.IsValid(5500 * time.Millisecond))
+	is.True(Trust{Duration: TrustDuration(0)}.IsValid(time.Hour))
 }
--- a/control/configuration/api.go
+++ b/control/configuration/api.go
@@ -1,7 +1,7 @@
 package configuration
 
-// Order is a whole configuration as an operator sent it, read and checked.
-type Order struct {
+// Document is a whole configuration as an operator sent it, read and checked.
+type Document struct {
 	Number   int64  // configRevision
 	Digest   string // of the meaning of the body: equal for bodies that differ in blanks, order of keys or spelling of numbers
 	Body     []byte // as it was sent
--- a/control/configuration/configuration.go
+++ b/control/configuration/configuration.go
@@ -16,17 +16,17 @@
 const MaxDepth = 64
 
 // Parse reads and checks a whole configuration. The error is a *Refusal.
-func Parse(body []byte) (Order, error) {
+func Parse(body []byte) (Document, error) {
 	root, refusal := readValue(body)
 	if refusal != nil {
-		return Order{}, refusal
+		return Document{}, refusal
 	}
 	contents, refusal := readContents(root)
 	if refusal != nil {
-		return Order{}, refusal
+		return Document{}, refusal
 	}
 	if refusal := check(contents); refusal != nil {
-		return Order{}, refusal
+		return Document{}, refusal
 	}
-	return Order{Number: contents.Number, Digest: digestOf(root), Body: body, Contents: contents}, nil
+	return Document{Number: contents.Number, Digest: digestOf(root), Body: body, Contents: contents}, nil
 }
--- a/control/configuration/parse_test.go
+++ b/control/configuration/parse_test.go
@@ -65,7 +65,7 @@
 }
 
 func TestParseRefuses(t *testing.T) {
-	unreadable, invalid := configuration.Unreadable, configuration.Invalid
+	unreadable, invalid := configuration.Malformed, configuration.Invalid
 	for _, refused := range []struct {
 		name, old, new string // what is changed in the smallest configuration
 		reason         configuration.Reason
--- a/control/configuration/refusal.go
+++ b/control/configuration/refusal.go
@@ -4,8 +4,8 @@
 type Reason int
 
 const (
-	// Unreadable: the body is not one JSON object with one reading, or a known field has a value of another type.
-	Unreadable Reason = iota + 1
+	// Malformed: the body is not one JSON object with one reading, or a known field has a value of another type.
+	Malformed Reason = iota + 1
 	// Invalid: the body can be read, and its contents can't be put in force.
 	Invalid
 	// TooLarge: the body is longer than MaxBody.
@@ -27,7 +27,7 @@
 }
 
 func unreadable(where, problem string) *Refusal {
-	return &Refusal{Reason: Unreadable, Where: where, Problem: problem}
+	return &Refusal{Reason: Malformed, Where: where, Problem: problem}
 }
 
 func invalid(where, problem string) *Refusal {
--- a/control/controller/callers_test.go
+++ b/control/controller/callers_test.go
@@ -140,7 +140,7 @@
 }
 
 // seenInForce: what an operator has read or a gateway has got counts as acknowledged.
-func (w *world) seenInForce(order configuration.Order) {
+func (w *world) seenInForce(order configuration.Document) {
 	content := order.Contents.Routes[0].Host
 	if taken, found := w.orders.taken[order.Number]; found && taken != content {
 		w.fail("number %d is in force with %s and was taken by %s", order.Number, content, taken)
--- a/control/controller/commands.go
+++ b/control/controller/commands.go
@@ -41,7 +41,7 @@
 type command struct {
 	kind       commandKind
 	call       CallID
-	order      configuration.Order
+	order      configuration.Document
 	heartbeat  registry.Heartbeat
 	instanceID string
 	change     failover.Change
@@ -181,7 +181,7 @@
 			continue
 		}
 		for _, instance := range service.Instances {
-			c.term.registry.Keep(c.now, instance.ID)
+			c.term.registry.DeferExpiry(c.now, instance.ID)
 		}
 	}
 }
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -175,7 +175,7 @@
 	c.term = &term{
 		epoch:       epoch,
 		reader:      state.NewServiceReader(),
-		registry:    registry.New(c.now, c.settings.InstanceTimeout).Lacking(c.settings.DisabledGuards),
+		registry:    registry.New(c.now, c.settings.InstanceTimeout).DisableGuards(c.settings.DisabledGuards),
 		failover:    failover.New(c.now, failoverSettings),
 		leases:      newGatewayLeases(c.now, c.settings.Lease+c.settings.LeaseMargin, c.guards),
 		table:       newTable(epoch),
--- a/control/controller/failover.go
+++ b/control/controller/failover.go
@@ -19,7 +19,7 @@
 
 // withDepartures adds the instances that departed under earlier terms, once in each term.
 func (c *Controller) withDepartures(services []failover.ServiceView) []failover.ServiceView {
-	if c.term.departuresReported || c.settings.DisabledGuards.Lacks(guard.DeparturesTold) {
+	if c.term.departuresReported || c.settings.DisabledGuards.Has(guard.DeparturesReported) {
 		return services
 	}
 	c.term.departuresReported = true
@@ -49,7 +49,7 @@
 		c.logEvent(event.What, event.Text)
 	}
 	if effects.AliveInstanceID != "" {
-		c.term.registry.Heard(c.now, effects.AliveInstanceID)
+		c.term.registry.MarkAlive(c.now, effects.AliveInstanceID)
 	}
 	for _, change := range effects.Changes {
 		c.enqueue(command{kind: changeFailover, change: change})
--- a/control/controller/heartbeats.go
+++ b/control/controller/heartbeats.go
@@ -29,7 +29,7 @@
 		return false
 	}
 	record, found := state.InstanceByID(c.node, heartbeat.InstanceID)
-	if !found || !heartbeat.IsPlain(record) {
+	if !found || !heartbeat.IsRoutine(record) {
 		return false
 	}
 	c.heartbeatsToForward = append(c.heartbeatsToForward, replication.ForwardedHeartbeat{
@@ -63,7 +63,7 @@
 		if !found {
 			continue
 		}
-		heartbeat := registry.PlainBeat(record, accepted.CallSeq, accepted.Role, accepted.WarmupLeftMs)
+		heartbeat := registry.RoutineHeartbeat(record, accepted.CallSeq, accepted.Role, accepted.WarmupLeftMs)
 		result := c.term.registry.Heartbeat(c.now, transaction, heartbeat)
 		switch {
 		case result.Changed && len(c.term.commands) < maxQueuedCommands:
--- a/control/controller/operations.go
+++ b/control/controller/operations.go
@@ -28,7 +28,7 @@
 
 // mayGrantOperations tells whether the last confirmation is so recent that the allocator of a later term can't be open yet.
 func (c *Controller) mayGrantOperations() bool {
-	isDisabled := c.guards.operationsUnconfirmed || c.settings.DisabledGuards.Lacks(guard.GrantConfirmed)
+	isDisabled := c.guards.operationsUnconfirmed || c.settings.DisabledGuards.Has(guard.GrantConfirmed)
 	return c.now-c.term.confirmedAt < maxGrantConfirmationAge || isDisabled
 }
 
@@ -41,10 +41,10 @@
 // newAllocator makes the allocator of a term that begins now. It opens when all short-lived grants of earlier terms have expired.
 func (c *Controller) newAllocator() *quota.Allocator {
 	opensAt := c.now + maxGrantConfirmationAge + quota.GrantLife + c.settings.LeaseMargin
-	if c.guards.allocatorOpensAtOnce || c.settings.DisabledGuards.Lacks(guard.BankOpensLate) {
+	if c.guards.allocatorOpensAtOnce || c.settings.DisabledGuards.Has(guard.AllocatorStartsLate) {
 		opensAt = c.now
 	}
-	if c.settings.DisabledGuards.Lacks(guard.BankStartsEmpty) {
+	if c.settings.DisabledGuards.Has(guard.AllocatorStartsEmpty) {
 		opensAt = 0
 	}
 	return quota.NewAllocator(c.newAllocatorID(), opensAt, c.settings.Quota)
@@ -71,7 +71,7 @@
 	}
 	limited := lo.Filter(order.Contents.Tenants, func(tenant configuration.Tenant, _ int) bool { return tenant.Limited })
 	since := c.now
-	if c.settings.DisabledGuards.Lacks(guard.BankStartsEmpty) {
+	if c.settings.DisabledGuards.Has(guard.AllocatorStartsEmpty) {
 		since = 0 // as if the buckets had been filling all along
 	}
 	c.term.allocator.SetLimits(since, lo.Map(limited, func(tenant configuration.Tenant, _ int) quota.Limit {
--- a/control/failover/choose.go
+++ b/control/failover/choose.go
@@ -130,7 +130,7 @@
 		spare = 0 // the leader is unknown, or was forgotten: it is the one that is missing
 	}
 	missing := lo.Map(open, func(i *member, _ int) string { return i.instance.ID })
-	if chosen.heldPosition.Less(s.view.Floor) && !s.settings().DisabledGuards.Lacks(guard.Floor) {
+	if chosen.heldPosition.Less(s.view.Floor) && !s.settings().DisabledGuards.Has(guard.Floor) {
 		missing = append(missing, DepartedEarlier)
 	}
 	if len(missing) <= spare {
--- a/control/failover/manager_test.go
+++ b/control/failover/manager_test.go
@@ -329,7 +329,7 @@
 	is.True(frozen)
 	is.Equal(len(broken), 0)
 
-	d, broken = lonelyDrain(guard.Set(0).Without(guard.LoneLeaderFrozen))
+	d, broken = lonelyDrain(guard.Set(0).With(guard.FreezeWithoutSuccessor))
 	_, frozen = d.manager.Frozen("a")
 	is.True(!frozen)
 	is.Equal(broken, []string{invariant.DrainedLeaderIsFrozen + ": a: a1"}) // told once
--- a/control/failover/watch.go
+++ b/control/failover/watch.go
@@ -98,7 +98,7 @@
 	}
 	leader := s.leader()
 	others := lo.Filter(s.present(), func(i *member, _ int) bool { return i.instance.ID != s.view.Leader.InstanceID })
-	kept := s.settings().DisabledGuards.Lacks(guard.LoneLeaderFrozen) && len(others) == 0
+	kept := s.settings().DisabledGuards.Has(guard.FreezeWithoutSuccessor) && len(others) == 0
 	if leader != nil && leader.drainSpent(now, s.settings()) && !kept {
 		return leaderDrains, true // whether anybody can follow or not: its drain was acknowledged
 	}
--- a/control/feed/drain.go
+++ b/control/feed/drain.go
@@ -19,10 +19,10 @@
 // NewDrainDeadlines knows of no instance that drains.
 func NewDrainDeadlines() *DrainDeadlines { return &DrainDeadlines{until: map[string]time.Duration{}} }
 
-// Take takes over the limits of an answer to a question that was sent at sentAt. They were counted after that moment, so a deadline
+// Update takes over the limits of an answer to a question that was sent at sentAt. They were counted after that moment, so a deadline
 // counted from it is early at most. Of several deadlines for a drain each is early at most, so the latest holds: a controller
 // that has just taken over doesn't know how old a drain is, and gives it no time at all.
-func (d *DrainDeadlines) Take(sentAt time.Duration, limits []DrainLimit) {
+func (d *DrainDeadlines) Update(sentAt time.Duration, limits []DrainLimit) {
 	next := make(map[string]time.Duration, len(limits))
 	for _, limit := range limits {
 		next[limit.InstanceID] = max(sentAt+limit.Left, d.until[limit.InstanceID])
@@ -35,8 +35,8 @@
 	return !instance.Draining || now < d.until[instance.ID]
 }
 
-// Passed is by how much the deadline of an instance that drains has passed; zero or less: it hasn't.
-func (d *DrainDeadlines) Passed(now time.Duration, instance Instance) time.Duration {
+// Overdue is by how much the deadline of an instance that drains has passed; zero or less: it hasn't.
+func (d *DrainDeadlines) Overdue(now time.Duration, instance Instance) time.Duration {
 	if !instance.Draining {
 		return 0
 	}
--- a/control/feed/table.go
+++ b/control/feed/table.go
@@ -23,16 +23,16 @@
 	Controllers         []quorum.Member
 }
 
-// ErrBase: the changes don't follow on the table held.
-var ErrBase = eris.New("changes to another table than the one held")
+// ErrBaseMismatch: the changes don't follow on the table held.
+var ErrBaseMismatch = eris.New("changes to another table than the one held")
 
-// On gives the whole table that comes of these changes to the one held.
-func (t Table) On(held Table) (Table, error) {
+// ApplyTo gives the whole table that comes of these changes to the one held.
+func (t Table) ApplyTo(held Table) (Table, error) {
 	if t.Base == (Version{}) {
 		return t, nil
 	}
 	if t.Base != held.Version {
-		return Table{}, ErrBase
+		return Table{}, ErrBaseMismatch
 	}
 	whole := t
 	whole.Base, whole.Gone = Version{}, nil
--- a/control/feed/table_test.go
+++ b/control/feed/table_test.go
@@ -20,12 +20,12 @@
 	first, second := Version{Epoch: 1, Sequence: 4}, Version{Epoch: 1, Sequence: 7}
 	held := Table{Version: first, Services: []Service{serviceOf("a", "a1", "a1"), serviceOf("b", "b1", "b1"), serviceOf("c", "c1", "c1")}}
 	changes := Table{Version: second, Base: first, Gone: []string{"a"}, Services: []Service{serviceOf("aa", "x", "x"), serviceOf("c", "c2", "c1", "c2")}}
-	whole, err := changes.On(held)
+	whole, err := changes.ApplyTo(held)
 	is.NoErr(err)
 	is.Equal(whole, Table{Version: second, Services: []Service{serviceOf("aa", "x", "x"), serviceOf("b", "b1", "b1"), serviceOf("c", "c2", "c1", "c2")}})
-	_, err = changes.On(Table{Version: second})
-	is.True(errors.Is(err, ErrBase))
-	replaced, err := Table{Version: second, Services: changes.Services}.On(held)
+	_, err = changes.ApplyTo(Table{Version: second})
+	is.True(errors.Is(err, ErrBaseMismatch))
+	replaced, err := Table{Version: second, Services: changes.Services}.ApplyTo(held)
 	is.NoErr(err)
 	is.Equal(len(replaced.Services), 2)
 }
--- a/control/registry/heartbeat.go
+++ b/control/registry/heartbeat.go
@@ -26,13 +26,13 @@
 	Replica  = "replica"
 )
 
-// BadHeartbeat says why a heartbeat is refused.
-type BadHeartbeat struct {
+// InvalidHeartbeatError says why a heartbeat is refused.
+type InvalidHeartbeatError struct {
 	Field   string // "": the body as a whole
 	Problem string
 }
 
-func (b *BadHeartbeat) Error() string {
+func (b *InvalidHeartbeatError) Error() string {
 	if b.Field == "" {
 		return "heartbeat: " + b.Problem
 	}
@@ -55,20 +55,20 @@
 }
 
 // ParseHeartbeat reads the body of a heartbeat of the instance with this id. Unknown fields are ignored. The error is a
-// *BadHeartbeat.
+// *InvalidHeartbeatError.
 func ParseHeartbeat(id string, body []byte) (Heartbeat, error) {
 	if !validID(id) {
-		return Heartbeat{}, &BadHeartbeat{Field: "id", Problem: "is empty, too long or not UTF-8"}
+		return Heartbeat{}, &InvalidHeartbeatError{Field: "id", Problem: "is empty, too long or not UTF-8"}
 	}
 	if len(body) > MaxBody {
-		return Heartbeat{}, &BadHeartbeat{Problem: fmt.Sprintf("is larger than %d bytes", MaxBody)}
+		return Heartbeat{}, &InvalidHeartbeatError{Problem: fmt.Sprintf("is larger than %d bytes", MaxBody)}
 	}
 	var read heartbeatBody
 	if err := json.Unmarshal(body, &read); err != nil {
-		return Heartbeat{}, &BadHeartbeat{Problem: err.Error()}
+		return Heartbeat{}, &InvalidHeartbeatError{Problem: err.Error()}
 	}
 	if read.CallSeq == nil {
-		return Heartbeat{}, &BadHeartbeat{Field: "callSeq", Problem: "is missing"}
+		return Heartbeat{}, &InvalidHeartbeatError{Field: "callSeq", Problem: "is missing"}
 	}
 	beat := read.Heartbeat
 	beat.InstanceID = id
@@ -79,15 +79,15 @@
 	return beat, nil
 }
 
-// IsPlain tells whether a beat of an instance with this record says nothing that must be recorded, or looked at closer: a backup may take it and
+// IsRoutine tells whether a beat of an instance with this record says nothing that must be recorded, or looked at closer: a backup may take it and
 // tell the primary.
-func (b Heartbeat) IsPlain(record state.Instance) bool {
+func (b Heartbeat) IsRoutine(record state.Instance) bool {
 	isReady := b.OperState == Ready && !record.Draining && !record.Left && !record.SaidFarewell()
 	return isReady && b.CallSeq > record.CallSeq && record.Instance == instanceOf(b)
 }
 
-// PlainBeat is a beat that says what is recorded of the instance.
-func PlainBeat(record state.Instance, callSeq uint64, role string, warmupLeftMs int64) Heartbeat {
+// RoutineHeartbeat is a beat that says what is recorded of the instance.
+func RoutineHeartbeat(record state.Instance, callSeq uint64, role string, warmupLeftMs int64) Heartbeat {
 	return Heartbeat{
 		InstanceID:    record.ID,
 		TargetService: record.Service,
@@ -112,8 +112,8 @@
 	}
 	var failures validator.ValidationErrors
 	if !errors.As(err, &failures) {
-		return &BadHeartbeat{Problem: err.Error()}
+		return &InvalidHeartbeatError{Problem: err.Error()}
 	}
 	failure := failures[0]
-	return &BadHeartbeat{Field: failure.Field(), Problem: "does not meet the rule " + failure.Tag() + " " + failure.Param()}
+	return &InvalidHeartbeatError{Field: failure.Field(), Problem: "does not meet the rule " + failure.Tag() + " " + failure.Param()}
 }
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -29,23 +29,23 @@
 	}
 }
 
-// Lacking takes guards out, for tests.
-func (r *Registry) Lacking(guards guard.Set) *Registry {
+// DisableGuards takes guards out, for tests.
+func (r *Registry) DisableGuards(guards guard.Set) *Registry {
 	r.lacking = guards
 	return r
 }
 
-// Taken says what became of a heartbeat.
-type Taken struct {
+// HeartbeatResult says what became of a heartbeat.
+type HeartbeatResult struct {
 	Fresh   bool // its callSeq is newer than every one seen of this instance, so its role counts
 	Changed bool // the transaction changes this instance: the beat may be acknowledged only when that is committed
 }
 
 // Heartbeat takes a heartbeat. The transaction gets what all gateways must know of it.
-func (r *Registry) Heartbeat(now time.Duration, tx *state.Transaction, beat Heartbeat) Taken {
+func (r *Registry) Heartbeat(now time.Duration, tx *state.Transaction, beat Heartbeat) HeartbeatResult {
 	r.silence.pass(now)
 	fresh := r.take(now, tx, beat)
-	return Taken{Fresh: fresh, Changed: tx.InstanceChanged(beat.InstanceID)}
+	return HeartbeatResult{Fresh: fresh, Changed: tx.InstanceChanged(beat.InstanceID)}
 }
 
 func (r *Registry) take(now time.Duration, tx *state.Transaction, beat Heartbeat) (fresh bool) {
@@ -78,7 +78,7 @@
 		next.Life++
 		return next
 	}
-	if r.lacking.Lacks(guard.EndIsFinal) {
+	if r.lacking.Has(guard.EndIsFinal) {
 		return next
 	}
 	next.Draining = next.Draining || record.Draining
@@ -100,7 +100,7 @@
 // mayReturn tells whether a beat that isn't late brings back an instance that left. One that said itself that it leaves is back
 // only in another life.
 func (r *Registry) mayReturn(reader state.Reader, record state.Instance, order order, beat Heartbeat) bool {
-	if record.SaidFarewell() && order != reborn && !r.lacking.Lacks(guard.EndIsFinal) {
+	if record.SaidFarewell() && order != reborn && !r.lacking.Has(guard.EndIsFinal) {
 		return false
 	}
 	return len(othersAt(reader, instanceOf(beat))) == 0
@@ -142,7 +142,7 @@
 	if known && record.SaidFarewell() {
 		return
 	}
-	if known && !record.Left && !record.Draining && !r.lacking.Lacks(guard.LeaverStays) {
+	if known && !record.Left && !record.Draining && !r.lacking.Has(guard.LeaverDrains) {
 		record.Draining, record.Farewell = true, true
 		record.CallSeq = r.highestSeen(record)
 		tx.PutInstance(record)
@@ -185,15 +185,15 @@
 	return now - max(r.sighting(id).heard, r.silence.since)
 }
 
-// Heard takes other evidence that an instance is alive, such as the answer to a probe. It does not bring back one that
+// MarkAlive takes other evidence that an instance is alive, such as the answer to a probe. It does not bring back one that
 // left.
-func (r *Registry) Heard(now time.Duration, id string) {
+func (r *Registry) MarkAlive(now time.Duration, id string) {
 	r.silence.pass(now)
 	r.sighting(id).heard = now
 }
 
-// Keep has an instance not taken for lost for now, though nothing is heard of it.
-func (r *Registry) Keep(now time.Duration, id string) {
+// DeferExpiry has an instance not taken for lost for now, though nothing is heard of it.
+func (r *Registry) DeferExpiry(now time.Duration, id string) {
 	r.silence.pass(now)
 	r.sighting(id).kept = now
 }
--- a/control/registry/registry_test.go
+++ b/control/registry/registry_test.go
@@ -59,7 +59,7 @@
 		is := is.New(t)
 		is.True(strings.Contains(validBeat, refused.old))
 		_, err := registry.ParseHeartbeat("i1", []byte(strings.Replace(validBeat, refused.old, refused.new, 1)))
-		var bad *registry.BadHeartbeat
+		var bad *registry.InvalidHeartbeatError
 		is.True(errors.As(err, &bad))
 		if !strings.Contains(err.Error(), refused.text) {
 			t.Errorf("%q does not say %q", err, refused.text)
@@ -84,8 +84,8 @@
 	transaction := state.NewTransaction(statetest.NewMemory())
 	beats := registry.New(0, time.Second)
 	beat := registry.Heartbeat{InstanceID: "a", TargetService: "s", Address: "a:1", OperState: registry.Draining, CallSeq: 3}
-	is.Equal(beats.Heartbeat(0, transaction, beat), registry.Taken{Fresh: true, Changed: true})
-	is.Equal(beats.Heartbeat(0, transaction, beat), registry.Taken{Fresh: false, Changed: true})
+	is.Equal(beats.Heartbeat(0, transaction, beat), registry.HeartbeatResult{Fresh: true, Changed: true})
+	is.Equal(beats.Heartbeat(0, transaction, beat), registry.HeartbeatResult{Fresh: false, Changed: true})
 }
 
 // What a beat of an instance does whose departure isn't recorded any more, since state.MaxDepartures others have left after it: as long as the
--- a/control/registry/scenario_test.go
+++ b/control/registry/scenario_test.go
@@ -93,7 +93,7 @@
 	case "leave":
 		w.registry.Leave(w.now, transaction, words[1])
 	case "heard":
-		w.registry.Heard(w.now, words[1])
+		w.registry.MarkAlive(w.now, words[1])
 	case "leader":
 		transaction.SetLeader("s", feed.Leader{InstanceID: words[1], Term: 1})
 	case "intent":
--- a/control/state/cost_test.go
+++ b/control/state/cost_test.go
@@ -56,7 +56,7 @@
 func BenchmarkPlaceOrder(b *testing.B) {
 	memory := statetest.NewMemory()
 	place(memory, orderOf(1, manyRoutes(1, 1000)))
-	next := configuration.Order{Number: 2, Digest: "2", Body: []byte(manyRoutes(2, 1000))}
+	next := configuration.Document{Number: 2, Digest: "2", Body: []byte(manyRoutes(2, 1000))}
 	written := 0
 	b.ReportAllocs()
 	for b.Loop() {
--- a/control/state/instance.go
+++ b/control/state/instance.go
@@ -38,7 +38,7 @@
 // acknowledged is not taken.
 func (t *Transaction) PutInstance(instance Instance) {
 	before, known := recordOf(t, instance.ID)
-	if known && before.takesBackEnd(instance) && !t.lacking.Lacks(guard.EndIsFinal) {
+	if known && before.takesBackEnd(instance) && !t.lacking.Has(guard.EndIsFinal) {
 		t.broken = append(t.broken, invariant.EndIsFinal+": "+instance.ID)
 		return
 	}
--- a/control/state/order.go
+++ b/control/state/order.go
@@ -27,7 +27,7 @@
 
 // PlaceOrder decides on an order and records it. The same decision on the changed state gives Repeated, so that an
 // order sent again is acknowledged again by whichever controller holds the state then.
-func (t *Transaction) PlaceOrder(order configuration.Order) Verdict {
+func (t *Transaction) PlaceOrder(order configuration.Document) Verdict {
 	if taken, found := read[orderRecord](t, orderKey(order.Number)); found {
 		if taken.Digest == order.Digest {
 			return Repeated
@@ -44,7 +44,7 @@
 }
 
 // recordOrder keeps the number as taken, and no more than MaxOrders of the highest numbers.
-func (t *Transaction) recordOrder(order configuration.Order) {
+func (t *Transaction) recordOrder(order configuration.Document) {
 	record := orderRecord{Number: order.Number, Digest: order.Digest}
 	t.set(orderKey(order.Number), encode(record))
 	orders := t.Entries(orderPrefix)
@@ -54,7 +54,7 @@
 	}
 }
 
-func (t *Transaction) putConfiguration(order configuration.Order) {
+func (t *Transaction) putConfiguration(order configuration.Document) {
 	head := configurationHead{Number: order.Number, Size: len(order.Body)}
 	for _, service := range order.Contents.Services {
 		configured := configuredService{Name: service.Name, SyncReplicas: service.SyncReplicas}
--- a/control/state/order_test.go
+++ b/control/state/order_test.go
@@ -20,13 +20,13 @@
 )
 
 // orderOf makes an order as Parse would.
-func orderOf(number int64, content string) configuration.Order {
+func orderOf(number int64, content string) configuration.Document {
 	digest := fmt.Sprintf("%x", sha256.Sum256([]byte(content)))
-	return configuration.Order{Number: number, Digest: digest, Body: []byte(content)}
+	return configuration.Document{Number: number, Digest: digest, Body: []byte(content)}
 }
 
 // place decides on an order in a transaction of its own.
-func place(memory *statetest.Memory, order configuration.Order) state.Verdict {
+func place(memory *statetest.Memory, order configuration.Document) state.Verdict {
 	transaction := state.NewTransaction(memory)
 	verdict := transaction.PlaceOrder(order)
 	memory.Commit(transaction)
--- a/control/state/state_test.go
+++ b/control/state/state_test.go
@@ -61,7 +61,7 @@
 func TestServices(t *testing.T) {
 	is := is.New(t)
 	transaction := state.NewTransaction(statetest.NewMemory())
-	transaction.PlaceOrder(configuration.Order{Number: 1, Contents: configuration.Contents{
+	transaction.PlaceOrder(configuration.Document{Number: 1, Contents: configuration.Contents{
 		Services: []configuration.Service{{Name: "b", SyncReplicas: 1}, {Name: "a"}},
 	}})
 	leader := feed.Leader{InstanceID: "i1", Term: 4}
--- a/gateway/access.go
+++ b/gateway/access.go
@@ -12,7 +12,7 @@
 	if !known || !d.hasLease(now) {
 		return false
 	}
-	_, admitted := d.access.Admit(route, key)
+	_, admitted := d.access.Authorize(route, key)
 	return !admitted
 }
 
@@ -26,5 +26,5 @@
 
 // stillAdmits reports whether the key under which a placement was made is still valid, as far as the gateway can know.
 func (d *directory) stillAdmits(now time.Duration, placement placement) bool {
-	return d.access.StillAdmits(access.Grant{Route: placement.route, Key: placement.key, Tenant: placement.tenant}, d.keys, now)
+	return d.access.IsGrantValid(access.Grant{Route: placement.route, Key: placement.key, Tenant: placement.tenant}, d.keys, now)
 }
--- a/gateway/access_test.go
+++ b/gateway/access_test.go
@@ -200,7 +200,7 @@
 func TestKeysExpireWithoutContactToControllers(t *testing.T) {
 	is := is.New(t)
 	directory := newDirectory()
-	directory.keys.Lasting = 4 * time.Second
+	directory.keys.Duration = 4 * time.Second
 	table := newTable(1, "i-1", false)
 	table.Configuration = newTenantConfiguration(7, bakers)
 	_, err := directory.apply(0, 0, feed.WatchAnswer{Table: table, Lease: 3 * time.Second})
@@ -210,7 +210,7 @@
 	is.Equal(placement.tenant, "bakers")
 	is.True(directory.stillAdmits(4*time.Second-1, placement))
 	is.True(!directory.stillAdmits(4*time.Second, placement))
-	directory.keys.Lasting = 0 // removed keys are refused only where the controllers are in contact
+	directory.keys.Duration = 0 // removed keys are refused only where the controllers are in contact
 	is.True(directory.stillAdmits(time.Hour, placement))
 	_, reason = directory.placeForKey(time.Second, "shop", access.NewKey("stranger"))
 	is.Equal(reason, keyRejected)
--- a/gateway/directory.go
+++ b/gateway/directory.go
@@ -73,7 +73,7 @@
 		changes = taken
 	}
 	d.keys.HeardAt = max(d.keys.HeardAt, sentAt)
-	d.drains.Take(sentAt, answer.Drains)
+	d.drains.Update(sentAt, answer.Drains)
 	d.renewLease(now, sentAt, answer.Lease)
 	return changes, nil
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -130,7 +130,7 @@
 
 func newGateway(options Options, controllers controllerClient) *Gateway {
 	directory := newDirectory()
-	directory.keys.Lasting = access.LastingFor(options.Settings.Bounds.Revoke())
+	directory.keys.Duration = access.TrustDuration(options.Settings.Bounds.Revoke())
 	gateway := &Gateway{
 		log:              options.Log,
 		controllers:      controllers,
@@ -309,5 +309,5 @@
 func (g *Gateway) hasTenants() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.directory.access.Required()
+	return g.directory.access.RequiresKeys()
 }
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -184,7 +184,7 @@
 	if !known || !g.directory.hasLease(g.elapsed()) {
 		return "", 0
 	}
-	tenant, _ = g.directory.access.Admit(route, key)
+	tenant, _ = g.directory.access.Authorize(route, key)
 	return tenant, receivedAt + maxPlacementWait(placement{route: route})
 }
 
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -65,7 +65,7 @@
 		return placement, keyRejected
 	}
 	placement.key = key
-	placement.tenant, _ = d.access.Admit(placement.route, key)
+	placement.tenant, _ = d.access.Authorize(placement.route, key)
 	return placement, reason
 }
 
--- a/gateway/reads.go
+++ b/gateway/reads.go
@@ -41,7 +41,7 @@
 			delete(g.readStates, name)
 			continue
 		}
-		state.picker.Keep(target.Instances)
+		state.picker.Retain(target.Instances)
 	}
 }
 
@@ -56,9 +56,9 @@
 		return nil
 	}
 	placement.key = key
-	placement.tenant, _ = g.directory.access.Admit(placement.route, key)
+	placement.tenant, _ = g.directory.access.Authorize(placement.route, key)
 	state := g.readState(placement.route.TargetService)
-	minPosition, isKnown := boundOf(placement.route).MustSee(now, &state.positions, lastCommit)
+	minPosition, isKnown := boundOf(placement.route).RequiredPosition(now, &state.positions, lastCommit)
 	if !isKnown {
 		return nil
 	}
@@ -66,7 +66,7 @@
 	if !isFound {
 		return nil
 	}
-	state.picker.Began(chosen.ID)
+	state.picker.ReadStarted(chosen.ID)
 	placement.replica, placement.address, placement.minPosition = chosen, chosen.Address, minPosition
 	flight := &flight{placement: placement}
 	g.flights[flight] = struct{}{}
@@ -92,7 +92,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.readState(flight.placement.route.TargetService).picker.Ended(g.elapsed(), flight.placement.replica.ID, result, took)
+	g.readState(flight.placement.route.TargetService).picker.ReadEnded(g.elapsed(), flight.placement.replica.ID, result, took)
 }
 
 // wasStoppedLocally reports whether the gateway stopped a statement for a reason that has nothing to do with the
@@ -103,7 +103,7 @@
 func resultOf(outcome session.Outcome) routing.Result {
 	switch {
 	case outcome.Kind == session.NotRun && (outcome.Intact || wasStoppedLocally(outcome.Reason)):
-		return routing.Unsaid
+		return routing.Inconclusive
 	case outcome.Kind == session.NotRun && outcome.Reason == errNoConnection.Error():
 		return routing.Busy
 	case outcome.Kind != session.Answered:
@@ -119,7 +119,7 @@
 	case wire.ReadOnly, wire.WrongNode, wire.ConnLimit:
 		return routing.Failed
 	}
-	return routing.Unsaid
+	return routing.Inconclusive
 }
 
 // recordLeaderPosition records the position that the leader named in an answer to a statement sent no earlier than
@@ -135,6 +135,6 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.directory.remainedValid(g.elapsed(), flight.placement) {
-		g.readState(flight.placement.route.TargetService).positions.Saw(askedAt, position)
+		g.readState(flight.placement.route.TargetService).positions.Record(askedAt, position)
 	}
 }
--- a/gateway/reads_test.go
+++ b/gateway/reads_test.go
@@ -177,6 +177,6 @@
 // as failing.
 func TestReplicaThatWasNotAskedIsNotCountedAsFailed(t *testing.T) {
 	is := is.New(t)
-	is.Equal(resultOf(notRun(overLimit)), routing.Unsaid)
-	is.Equal(resultOf(notRun(string(frozen))), routing.Unsaid)
+	is.Equal(resultOf(notRun(overLimit)), routing.Inconclusive)
+	is.Equal(resultOf(notRun(string(frozen))), routing.Inconclusive)
 }
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -62,12 +62,12 @@
 // it was in time.
 func (d *directory) lateness(sentAt time.Duration, placement placement) time.Duration {
 	if placement.atReplica() {
-		return d.drains.Passed(sentAt, d.currentReplica(placement))
+		return d.drains.Overdue(sentAt, d.currentReplica(placement))
 	}
 	if !d.isLeader(placement) {
 		return 0
 	}
-	return d.drains.Passed(sentAt, d.services[placement.route.TargetService].leaderInstance)
+	return d.drains.Overdue(sentAt, d.services[placement.route.TargetService].leaderInstance)
 }
 
 // mayCommit reports whether a COMMIT may be sent now. Open transactions of a frozen service may end, since the freeze
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -17,7 +17,7 @@
 	if table.Version == d.table.Version {
 		return tableChanges{}, nil
 	}
-	table, err := table.On(d.table)
+	table, err := table.ApplyTo(d.table)
 	if err != nil {
 		d.needsFullTable = true
 		return tableChanges{}, err
--- a/role/positions.go
+++ b/role/positions.go
@@ -28,8 +28,8 @@
 // Positions are those of the lawful leader of one service, by when they were asked for, the earliest first.
 type Positions struct{ kept []seen }
 
-// Saw notes a position that the lawful leader named in answer to a question that was sent no earlier than asked.
-func (p *Positions) Saw(asked time.Duration, position failover.Position) {
+// Record notes a position that the lawful leader named in answer to a question that was sent no earlier than asked.
+func (p *Positions) Record(asked time.Duration, position failover.Position) {
 	count := len(p.kept)
 	if count > 0 && asked <= p.kept[count-1].asked {
 		return // a later question has been answered already
@@ -72,9 +72,9 @@
 	OwnWrites bool          // and all that its own session committed
 }
 
-// MustSee is the position that a read must see now, given the one that its session's last commit has reached; false: no position is known that
+// RequiredPosition is the position that a read must see now, given the one that its session's last commit has reached; false: no position is known that
 // covers the bound.
-func (b Bound) MustSee(now time.Duration, positions *Positions, written failover.Position) (failover.Position, bool) {
+func (b Bound) RequiredPosition(now time.Duration, positions *Positions, written failover.Position) (failover.Position, bool) {
 	after, covered := positions.Covering(now - b.Staleness + b.Staleness/staleMargin)
 	if b.OwnWrites && after.Less(written) {
 		after = written
--- a/role/positions_test.go
+++ b/role/positions_test.go
@@ -19,7 +19,7 @@
 	_, known := positions.Covering(0)
 	is.True(!known)
 	for step := range 10 {
-		positions.Saw(time.Duration(step+1)*100*ms, at(uint64(step)))
+		positions.Record(time.Duration(step+1)*100*ms, at(uint64(step)))
 	}
 	found, known := positions.Covering(350 * ms)
 	is.True(known)
@@ -28,7 +28,7 @@
 	is.Equal(found, at(3))
 	_, known = positions.Covering(1001 * ms)
 	is.True(!known)
-	positions.Saw(200*ms, at(99)) // late, and no news
+	positions.Record(200*ms, at(99)) // late, and no news
 	found, _ = positions.Covering(150 * ms)
 	is.Equal(found, at(1))
 	newest, _ := positions.Newest()
@@ -40,7 +40,7 @@
 	is := is.New(t)
 	var positions Positions
 	for step := range 10_000 {
-		positions.Saw(time.Duration(step)*ms, at(uint64(step)))
+		positions.Record(time.Duration(step)*ms, at(uint64(step)))
 		newest, _ := positions.Newest()
 		is.Equal(newest, time.Duration(step)*ms)
 	}
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -22,8 +22,8 @@
 	Busy
 	// Failed: the connection broke or could not be made, or there was no answer in time.
 	Failed
-	// Unsaid: nothing can be said of the instance.
-	Unsaid
+	// Inconclusive: nothing can be said of the instance.
+	Inconclusive
 )
 
 const (
@@ -87,11 +87,11 @@
 	return busy * (1 + chance*(p.random.Float64()-0.5))
 }
 
-// Began notes that a read goes to an instance.
-func (p *Picker) Began(id string) { p.of(id).inFlight++ }
+// ReadStarted notes that a read goes to an instance.
+func (p *Picker) ReadStarted(id string) { p.of(id).inFlight++ }
 
-// Ended notes how it ended.
-func (p *Picker) Ended(now time.Duration, id string, result Result, took time.Duration) {
+// ReadEnded notes how it ended.
+func (p *Picker) ReadEnded(now time.Duration, id string, result Result, took time.Duration) {
 	one := p.of(id)
 	one.inFlight = max(0, one.inFlight-1)
 	switch result {
@@ -127,8 +127,8 @@
 	return one
 }
 
-// Keep forgets instances that aren't among those present and have nothing under way.
-func (p *Picker) Keep(present []feed.Instance) {
+// Retain forgets instances that aren't among those present and have nothing under way.
+func (p *Picker) Retain(present []feed.Instance) {
 	for id, one := range p.known {
 		isPresent := slices.ContainsFunc(present, func(instance feed.Instance) bool { return instance.ID == id })
 		if !isPresent && one.inFlight == 0 {
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -31,16 +31,16 @@
 	is := is.New(t)
 	p := newPicker()
 	is.Equal(p.must(is, 0), "near")
-	p.Began("near")
+	p.ReadStarted("near")
 	is.True(p.must(is, 0) != "near") // twice as busy
-	p.Ended(0, "near", Served, 5*ms)
+	p.ReadEnded(0, "near", Served, 5*ms)
 	for range 40 {
-		p.Began("near")
-		p.Ended(0, "near", Served, 80*ms)
-		p.Began("far")
-		p.Ended(0, "far", Served, 5*ms)
-		p.Began("third")
-		p.Ended(0, "third", Served, 30*ms)
+		p.ReadStarted("near")
+		p.ReadEnded(0, "near", Served, 80*ms)
+		p.ReadStarted("far")
+		p.ReadEnded(0, "far", Served, 5*ms)
+		p.ReadStarted("third")
+		p.ReadEnded(0, "third", Served, 30*ms)
 	}
 	is.Equal(p.must(is, 0), "far")
 	is.Equal(p.must(is, 0, "far"), "third")
@@ -52,7 +52,7 @@
 	for range 3 * near.Slots {
 		chosen, found := p.Choose(0, all, nil)
 		is.True(found)
-		p.Began(chosen.ID)
+		p.ReadStarted(chosen.ID)
 	}
 	_, found := p.Choose(0, all, nil)
 	is.True(!found)
@@ -67,22 +67,22 @@
 		p := newPicker()
 		now := time.Duration(0)
 		only := func(now time.Duration) bool { _, found := p.Choose(now, all, []string{"far", "third"}); return found }
-		p.Began("near")
-		p.Ended(now, "near", one.result, 0)
+		p.ReadStarted("near")
+		p.ReadEnded(now, "near", one.result, 0)
 		is.True(!only(now + one.first - ms))
 		is.True(only(now + one.first))
 		for range 12 {
 			now += one.most
-			p.Began("near")
-			p.Ended(now, "near", one.result, 0)
+			p.ReadStarted("near")
+			p.ReadEnded(now, "near", one.result, 0)
 		}
 		is.True(!only(now + one.most - ms))
 		is.True(only(now + one.most))
 		now += one.most
-		p.Began("near")
-		p.Ended(now, "near", Served, ms)
-		p.Began("near")
-		p.Ended(now, "near", one.result, 0)
+		p.ReadStarted("near")
+		p.ReadEnded(now, "near", Served, ms)
+		p.ReadStarted("near")
+		p.ReadEnded(now, "near", one.result, 0)
 		is.True(only(now + one.first)) // it has served meanwhile
 	}
 }
@@ -90,12 +90,12 @@
 func TestGoneInstancesAreForgotten(t *testing.T) {
 	is := is.New(t)
 	p := newPicker()
-	p.Began("near")
-	p.Began("far")
-	p.Ended(0, "far", Failed, 0)
-	p.Keep([]feed.Instance{third})
+	p.ReadStarted("near")
+	p.ReadStarted("far")
+	p.ReadEnded(0, "far", Failed, 0)
+	p.Retain([]feed.Instance{third})
 	is.Equal(len(p.known), 1) // near still runs something
-	p.Ended(0, "near", Served, ms)
-	p.Keep([]feed.Instance{third})
+	p.ReadEnded(0, "near", Served, ms)
+	p.Retain([]feed.Instance{third})
 	is.Equal(len(p.known), 0)
 }
--- a/simulation/gateway.go
+++ b/simulation/gateway.go
@@ -216,7 +216,7 @@
 		if g.table != nil {
 			held = *g.table
 		}
-		whole, err := answer.Table.On(held)
+		whole, err := answer.Table.ApplyTo(held)
 		if err != nil {
 			g.world.judge.toldBroken(g.name, err.Error())
 			return
@@ -225,7 +225,7 @@
 	}
 	g.keys.HeardAt = max(g.keys.HeardAt, sent)
 	g.primary = g.target
-	g.drains.Take(sent, answer.Drains)
+	g.drains.Update(sent, answer.Drains)
 	if answer.Lease > 0 && g.table != nil {
 		g.leaseUntil = max(g.leaseUntil, sent+answer.Lease)
 	}
@@ -364,7 +364,7 @@
 func (g *gateway) leaderOf(service *feed.Service) *instance {
 	for _, known := range service.Instances {
 		if known.ID == service.Leader.InstanceID {
-			if !g.drains.MayBegin(g.world.now(), known) && !g.world.plan.Lacking.Lacks(guard.DrainDeadline) {
+			if !g.drains.MayBegin(g.world.now(), known) && !g.world.plan.Lacking.Has(guard.DrainDeadline) {
 				return nil
 			}
 			target := g.world.instanceAt(known.Address)
@@ -415,7 +415,7 @@
 		report.Answers++
 		g.open(one.statement, target)
 		if g.rightLasted(one) {
-			g.readsOf(one.service).positions.Saw(one.statement.passed, one.statement.told)
+			g.readsOf(one.service).positions.Record(one.statement.passed, one.statement.told)
 		}
 		one.end(g, g.worthOf(one))
 	case statementReadOnly:
--- a/simulation/gateway_reads.go
+++ b/simulation/gateway_reads.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	known := g.readsOf(service.Name)
-	after, covered := one.bound.MustSee(now, &known.positions, one.written)
+	after, covered := one.bound.RequiredPosition(now, &known.positions, one.written)
 	if !covered {
 		return nil
 	}
@@ -46,7 +46,7 @@
 	if target == nil || target.id != chosen.ID {
 		return nil
 	}
-	if !g.world.plan.Lacking.Lacks(guard.PositionProven) {
+	if !g.world.plan.Lacking.Has(guard.ReadPositionRequired) {
 		one.after = after
 	}
 	return target
@@ -56,13 +56,13 @@
 func (g *gateway) readAtReplica(one *statement, service *feed.Service, target *instance, answer func(answerKind)) {
 	w, life := g.world, g.life
 	known := g.readsOf(service.Name)
-	known.picker.Began(target.id)
+	known.picker.ReadStarted(target.id)
 	passed := &flight{statement: one, service: service.Name, answer: answer, replica: true}
 	g.flights[passed] = true
 	one.gateway, one.passed = g, w.now()
 	ended := func(result routing.Result, kind answerKind) {
 		if !passed.over {
-			known.picker.Ended(w.now(), target.id, result, w.now()-one.passed)
+			known.picker.ReadEnded(w.now(), target.id, result, w.now()-one.passed)
 			passed.end(g, kind)
 		}
 	}
@@ -75,7 +75,7 @@
 			default:
 				passed.over = true
 				delete(g.flights, passed)
-				known.picker.Ended(w.now(), target.id, routing.Lagging, 0)
+				known.picker.ReadEnded(w.now(), target.id, routing.Lagging, 0)
 				again := *one // a copy: the one that was sent may come to the replica twice
 				again.after = failover.Position{}
 				g.takeAtLeader(&again, answer)
--- a/simulation/gateway_tenants.go
+++ b/simulation/gateway_tenants.go
@@ -39,7 +39,7 @@
 
 func newTenantry(plan Plan) tenantry {
 	return tenantry{
-		keys:     access.Trust{Lasting: access.LastingFor(plan.Bounds.Revoke)},
+		keys:     access.Trust{Duration: access.TrustDuration(plan.Bounds.Revoke)},
 		admitted: map[string]string{},
 		purse:    quota.NewBudget(),
 	}
@@ -67,7 +67,7 @@
 
 // trust is for how long the keys of the table held may be taken for good.
 func (g *gateway) trust() access.Trust {
-	if g.world.plan.Lacking.Lacks(guard.KeyTrustEnds) {
+	if g.world.plan.Lacking.Has(guard.KeyTrustExpires) {
 		return access.Trust{}
 	}
 	return g.keys
@@ -79,8 +79,8 @@
 		answer(answerBusy)
 		return false
 	}
-	tenant, admitted := g.access.Admit(configuration.Route{}, access.NewKey(one.operation.key))
-	if g.world.plan.Lacking.Lacks(guard.KeyPerStatement) {
+	tenant, admitted := g.access.Authorize(configuration.Route{}, access.NewKey(one.operation.key))
+	if g.world.plan.Lacking.Has(guard.KeyPerStatement) {
 		tenant, admitted = g.admitSession(one.operation, tenant, admitted)
 	}
 	if !admitted {
@@ -106,10 +106,10 @@
 
 // stillAdmits is the last look at a first statement's key before it leaves.
 func (g *gateway) stillAdmits(one *statement) bool {
-	if g.world.plan.Lacking.Lacks(guard.KeyPerStatement) {
+	if g.world.plan.Lacking.Has(guard.KeyPerStatement) {
 		return true
 	}
-	return g.access.StillAdmits(g.grantOf(one), g.trust(), g.world.now())
+	return g.access.IsGrantValid(g.grantOf(one), g.trust(), g.world.now())
 }
 
 func (g *gateway) grantOf(one *statement) access.Grant {
@@ -185,7 +185,7 @@
 		})
 		return
 	}
-	if w.plan.Lacking.Lacks(guard.GrantEnds) {
+	if w.plan.Lacking.Has(guard.GrantExpires) {
 		for index := range answer.Grants {
 			answer.Grants[index].Life += w.plan.Length
 			answer.Grants[index].ReserveLife += w.plan.Length
--- a/simulation/generate_test.go
+++ b/simulation/generate_test.go
@@ -72,16 +72,16 @@
 		lacking guard.Set
 		seed    uint64
 	}{
-		{"a leaver dropped at once", guard.Set(guard.LeaverStays), 63},
+		{"a leaver dropped at once", guard.Set(guard.LeaverDrains), 63},
 		{"no floor", guard.Set(guard.Floor), 4},
 		{"ends not final", guard.Set(guard.EndIsFinal), 15},
-		{"departures not told", guard.Set(guard.DeparturesTold), 22},
-		{"reads at replicas without a position", guard.Set(guard.PositionProven), 1},
+		{"departures not told", guard.Set(guard.DeparturesReported), 22},
+		{"reads at replicas without a position", guard.Set(guard.ReadPositionRequired), 1},
 		{"keys checked when a session begins only", guard.Set(guard.KeyPerStatement), 1},
 		{"keys checked at the first statement of a transaction only", guard.Set(guard.KeyInTransaction), 1},
-		{"keys trusted for ever without news", guard.Set(guard.KeyTrustEnds), 2},
+		{"keys trusted for ever without news", guard.Set(guard.KeyTrustExpires), 2},
 		// Each of these two stands in for the other, so only a day without both breaks the rule.
-		{"a lone leader not frozen, no deadline at gateways", guard.Set(guard.LoneLeaderFrozen | guard.DrainDeadline), 10},
+		{"a lone leader not frozen, no deadline at gateways", guard.Set(guard.FreezeWithoutSuccessor | guard.DrainDeadline), 10},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
--- a/simulation/guards_test.go
+++ b/simulation/guards_test.go
@@ -20,10 +20,10 @@
 	}{
 		{"keys checked when a session begins only", guard.Set(guard.KeyPerStatement), "tenants-calm-day", ruleConfig},
 		{"keys checked at the first statement of a transaction only", guard.Set(guard.KeyInTransaction), "tenants-withdrawn-in-transactions", ruleConfig},
-		{"keys trusted for ever without news", guard.Set(guard.KeyTrustEnds), "tenants-withdrawn-cut-gateway", ruleConfig},
-		{"keys trusted for ever by a gateway that wakes", guard.Set(guard.KeyTrustEnds), "tenants-withdrawn-frozen-gateway", ruleConfig},
-		{"a bank that opens full", guard.Set(guard.BankStartsEmpty), "tenants-hot-large-burst", ruleQuota},
-		{"grants that never end", guard.Set(guard.GrantEnds), "tenants-limit-lowered-while-idle", ruleQuota},
+		{"keys trusted for ever without news", guard.Set(guard.KeyTrustExpires), "tenants-withdrawn-cut-gateway", ruleConfig},
+		{"keys trusted for ever by a gateway that wakes", guard.Set(guard.KeyTrustExpires), "tenants-withdrawn-frozen-gateway", ruleConfig},
+		{"a bank that opens full", guard.Set(guard.AllocatorStartsEmpty), "tenants-hot-large-burst", ruleQuota},
+		{"grants that never end", guard.Set(guard.GrantExpires), "tenants-limit-lowered-while-idle", ruleQuota},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
--- a/simulation/transactions.go
+++ b/simulation/transactions.go
@@ -84,8 +84,8 @@
 	if !inside.open || inside.life != g.life || service == nil || service.Frozen || service.Leader.InstanceID != inside.at.id {
 		return false
 	}
-	unchecked := g.world.plan.Lacking.Lacks(guard.KeyInTransaction)
-	return unchecked || g.access.StillAdmits(inside.grant, g.trust(), g.world.now())
+	unchecked := g.world.plan.Lacking.Has(guard.KeyInTransaction)
+	return unchecked || g.access.IsGrantValid(inside.grant, g.trust(), g.world.now())
 }
 
 // open notes that the first read of a transaction was answered: the others follow it to the same instance.
