--- a/control/access/access.go
+++ b/control/access/access.go
@@ -67,7 +67,7 @@
 
 // Trust is for how long the keys of a table may be taken for good without news.
 type Trust struct {
-	HeardAt time.Duration // when the question was sent whose answer came last
+	HeardAt  time.Duration // when the question was sent whose answer came last
 	Duration time.Duration // how long after it; 0: for as long as nothing else is heard
 }
 
--- a/control/feed/feed.go
+++ b/control/feed/feed.go
@@ -1,4 +1,4 @@
-// Package feed holds what gateways and controllers say to each other: the table that gateways work by, and the lease
+// Package feed defines the messages between gateways and controllers: the table that gateways route by, and the lease
 // under which they may use it.
 package feed
 
@@ -9,13 +9,13 @@
 	"eiderway/control/quota"
 )
 
-// Version orders tables. Tables of a later epoch are newer.
+// Version orders tables: by epoch first, then by sequence.
 type Version struct {
 	Epoch    quorum.Epoch
 	Sequence uint64
 }
 
-// Less tells whether a comes before b.
+// Less tells whether a is older than b.
 func (a Version) Less(b Version) bool {
 	if a.Epoch != b.Epoch {
 		return a.Epoch < b.Epoch
@@ -33,9 +33,9 @@
 	Draining bool
 }
 
-// Leader is the primary of a service as the control state has it.
+// Leader is the primary of a service as recorded in the control state.
 type Leader struct {
-	InstanceID string // "": none known
+	InstanceID string // "": unknown
 	Term       uint64
 }
 
@@ -47,7 +47,7 @@
 	Instances []Instance
 }
 
-// InstanceReport tells the controller what a gateway met at an instance since its last question.
+// InstanceReport tells the controller what a gateway observed at an instance since its last request.
 type InstanceReport struct {
 	InstanceID string
 	Answers    int // statements answered
@@ -55,28 +55,28 @@
 	ReadOnly   int // writes refused because the instance does not lead
 }
 
-// WatchRequest asks for news. It is answered when there is a newer table or when the wait is over.
+// WatchRequest asks for changes. It is answered when there is a newer table, or after Wait.
 type WatchRequest struct {
-	Gateway       string // name and a random word of this process
+	Gateway       string // name and a random part for this process
 	Name          string
-	Applied       Version // the table the gateway works by now; it acknowledges a freeze with it
+	Applied       Version // the table in use at the gateway; by it the gateway acknowledges a freeze
 	Digest        uint64  // of that table's services
-	Configuration int64   // the number of the configuration that the gateway holds
+	Configuration int64   // the number of the gateway's configuration
 	Wait          time.Duration
 	Reports       []InstanceReport
-	Leaving       bool // the gateway has stopped: no lease is wanted, none is counted
-	// Operations asks the primary for operations of tenants. Such a question asks for nothing else, is answered at once, and gets no lease.
+	Leaving       bool // the gateway has stopped: it wants no lease, and its earlier one no longer counts
+	// Operations asks the primary for operations of tenants. Such a request asks for nothing else, is answered at once, and gets no lease.
 	Operations *quota.Request
-	Relay      bool // the gateway can't reach the primary: a controller that isn't primary is to ask it, and pass its answer on
+	Relay      bool // the gateway can't reach the primary: a controller that isn't primary forwards the request and returns the answer
 }
 
-// WatchAnswer is valid from the moment the request was sent, by the gateway's steady clock.
+// WatchAnswer is the answer to a WatchRequest. Its times count from the moment the request was sent, by the gateway's monotonic clock.
 type WatchAnswer struct {
-	NotPrimary bool          // ask Primary instead, if it is there
+	NotPrimary bool          // ask Primary instead, if it is set
 	Primary    quorum.Member // as far as known
 	Members    []quorum.Member
 	Table      *Table        // nil: Applied is the newest
 	Lease      time.Duration // 0: none. Counted from the sending of the request
 	Drains     []DrainLimit  // of all instances that drain by the newest table
-	Operations *quota.Answer // to a question for operations
+	Operations *quota.Answer // answers Operations of the request
 }
--- a/control/feed/table.go
+++ b/control/feed/table.go
@@ -12,48 +12,48 @@
 	"eiderway/control/quorum"
 )
 
-// Table is everything a gateway works by. One that is sent to a gateway may hold only what has changed since the table that it has.
+// Table is the routing information of a gateway. A table sent to a gateway may hold only the changes to the one that the gateway has.
 type Table struct {
 	Version             Version
-	Base                Version // with a version: Services and Gone are what has changed since; zero: Services is all there are
+	Base                Version // if set, Services and Gone are the changes since this version; if zero, Services is complete
 	Gone                []string
 	ConfigurationNumber int64     // 0: none yet
-	Configuration       []byte    // as the operator sent it; nil if the gateway said that it has this number
+	Configuration       []byte    // as the operator sent it; nil if the gateway said that it has this number already
 	Services            []Service // sorted by name
 	Controllers         []quorum.Member
 }
 
-// ErrBaseMismatch: the changes don't follow on the table held.
-var ErrBaseMismatch = eris.New("changes to another table than the one held")
+// ErrBaseMismatch is returned when changes are based on another table than the current one.
+var ErrBaseMismatch = eris.New("the changes are based on another table than the current one")
 
-// ApplyTo gives the whole table that comes of these changes to the one held.
-func (t Table) ApplyTo(held Table) (Table, error) {
+// ApplyTo applies the changes in t to the current table and returns the complete result. A table that is complete is returned as it is.
+func (t Table) ApplyTo(current Table) (Table, error) {
 	if t.Base == (Version{}) {
 		return t, nil
 	}
-	if t.Base != held.Version {
+	if t.Base != current.Version {
 		return Table{}, ErrBaseMismatch
 	}
-	whole := t
-	whole.Base, whole.Gone = Version{}, nil
-	whole.Services = slices.Clone(t.Services)
+	result := t
+	result.Base, result.Gone = Version{}, nil
+	result.Services = slices.Clone(t.Services)
 	changed := lo.SliceToMap(t.Services, func(service Service) (string, struct{}) { return service.Name, struct{}{} })
-	for _, kept := range held.Services {
-		if _, replaced := changed[kept.Name]; !replaced && !slices.Contains(t.Gone, kept.Name) {
-			whole.Services = append(whole.Services, kept)
+	for _, service := range current.Services {
+		if _, replaced := changed[service.Name]; !replaced && !slices.Contains(t.Gone, service.Name) {
+			result.Services = append(result.Services, service)
 		}
 	}
-	SortServices(whole.Services)
-	return whole, nil
+	SortServices(result.Services)
+	return result, nil
 }
 
-// SortServices sorts by name.
+// SortServices sorts services by name.
 func SortServices(services []Service) {
 	slices.SortFunc(services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// DigestOf is the same for the same services, and different for others but by chance in 2^64. After a takeover among the controllers it spares
-// gateways the whole table, of which nothing has changed.
+// DigestOf returns a 64-bit digest of the services: equal for equal services, and different for others except by chance. By it a new
+// primary controller recognises that a gateway's services are unchanged, and need not send them all again.
 func DigestOf(services []Service) uint64 {
 	var sum uint64
 	for _, service := range services {
@@ -64,12 +64,12 @@
 
 func (s Service) digest() uint64 {
 	sum := fnv.New64a()
-	text := func(word string) {
-		_, _ = sum.Write([]byte(word))
+	text := func(value string) {
+		_, _ = sum.Write([]byte(value))
 		_, _ = sum.Write([]byte{0})
 	}
 	number := func(value uint64) { _, _ = sum.Write(binary.LittleEndian.AppendUint64(nil, value)) }
-	flag := func(holds bool) { number(lo.Ternary[uint64](holds, 1, 0)) }
+	flag := func(value bool) { number(lo.Ternary[uint64](value, 1, 0)) }
 	text(s.Name)
 	text(s.Leader.InstanceID)
 	number(s.Leader.Term)
--- a/control/feed/table_test.go
+++ b/control/feed/table_test.go
@@ -15,22 +15,22 @@
 	return service
 }
 
-func TestChangesMakeAWholeTable(t *testing.T) {
+func TestChangesApplyToTheirBaseOnly(t *testing.T) {
 	is := is.New(t)
 	first, second := Version{Epoch: 1, Sequence: 4}, Version{Epoch: 1, Sequence: 7}
-	held := Table{Version: first, Services: []Service{serviceOf("a", "a1", "a1"), serviceOf("b", "b1", "b1"), serviceOf("c", "c1", "c1")}}
+	current := Table{Version: first, Services: []Service{serviceOf("a", "a1", "a1"), serviceOf("b", "b1", "b1"), serviceOf("c", "c1", "c1")}}
 	changes := Table{Version: second, Base: first, Gone: []string{"a"}, Services: []Service{serviceOf("aa", "x", "x"), serviceOf("c", "c2", "c1", "c2")}}
-	whole, err := changes.ApplyTo(held)
+	result, err := changes.ApplyTo(current)
 	is.NoErr(err)
-	is.Equal(whole, Table{Version: second, Services: []Service{serviceOf("aa", "x", "x"), serviceOf("b", "b1", "b1"), serviceOf("c", "c2", "c1", "c2")}})
+	is.Equal(result, Table{Version: second, Services: []Service{serviceOf("aa", "x", "x"), serviceOf("b", "b1", "b1"), serviceOf("c", "c2", "c1", "c2")}})
 	_, err = changes.ApplyTo(Table{Version: second})
 	is.True(errors.Is(err, ErrBaseMismatch))
-	replaced, err := Table{Version: second, Services: changes.Services}.ApplyTo(held)
+	replaced, err := Table{Version: second, Services: changes.Services}.ApplyTo(current)
 	is.NoErr(err)
 	is.Equal(len(replaced.Services), 2)
 }
 
-func TestDigestTellsTablesApart(t *testing.T) {
+func TestDigestDiffersForDifferentTables(t *testing.T) {
 	is := is.New(t)
 	table := func() []Service { return []Service{serviceOf("a", "a1", "a1", "a2"), serviceOf("b", "b1", "b1")} }
 	before := DigestOf(table())
--- a/control/guard/guard.go
+++ b/control/guard/guard.go
@@ -1,46 +1,46 @@
-// Package guard names the rules about instances that end, and about keys and limits of tenants, which tests take out one at a time, to see that the days they
-// play find what each rule prevents. A running system has all of them in force.
+// Package guard names the safety rules for departing instances and for the keys and limits of tenants. Tests disable them one at a time, to
+// show that the simulated scenarios detect the failure that each rule prevents. A running system has all of them enabled.
 package guard
 
-// Guard is one rule that can be taken out.
+// Guard is a safety rule that tests can disable.
 type Guard uint16
 
 const (
-	// LeaverDrains: an instance that leaves without having drained stays until it is seen to have ended.
+	// LeaverDrains: an instance that announces its leave without having drained stays present, draining, until it is seen to have ended.
 	LeaverDrains Guard = 1 << iota
-	// Floor: whoever has not reached the position that covers departed instances isn't chosen to lead.
+	// Floor: an instance whose log has not reached the position that covers departed instances isn't chosen as leader.
 	Floor
-	// DrainDeadline: gateways begin nothing at an instance once the time that its drain leaves is over.
+	// DrainDeadline: gateways start nothing at a draining instance after the deadline of its drain.
 	DrainDeadline
-	// FreezeWithoutSuccessor: a service whose leader drains is frozen in time also when nobody can follow it.
+	// FreezeWithoutSuccessor: a service whose leader drains is frozen in time even if no other instance can become leader.
 	FreezeWithoutSuccessor
-	// EndIsFinal: a drain and a leave are never taken back within the life of an instance.
+	// EndIsFinal: a drain or a leave is never reverted within the life of an instance.
 	EndIsFinal
-	// ReadPositionRequired: a read at a replica names the position that the replica's log must hold.
+	// ReadPositionRequired: a read at a replica names the log position that the replica must have reached.
 	ReadPositionRequired
-	// DeparturesReported: a primary of the control state that has just taken over hears of departures under earlier ones.
+	// DeparturesReported: a controller that has just become primary takes departures under earlier primaries into account.
 	DeparturesReported
-	// KeyPerStatement: a client's key is checked with each first statement, not only when its session begins.
+	// KeyPerStatement: a client's key is checked with the first statement of each transaction, not only when its session begins.
 	KeyPerStatement
-	// KeyInTransaction: it is checked with each statement of a transaction, not only with the first.
+	// KeyInTransaction: a client's key is checked with each statement of a transaction, not only with the first.
 	KeyInTransaction
-	// KeyTrustExpires: whoever has heard nothing for a while takes no key for good any more.
+	// KeyTrustExpires: a gateway that has had no contact with the controllers for a while accepts no keys any more.
 	KeyTrustExpires
-	// AllocatorStartsEmpty: the bank of a new primary grants nothing of what an earlier one may have granted.
+	// AllocatorStartsEmpty: the allocator of a new primary grants nothing that an earlier one may have granted already.
 	AllocatorStartsEmpty
-	// AllocatorStartsLate: it fills only once no earlier bank grants any more.
+	// AllocatorStartsLate: the allocator of a new primary fills only when no earlier one can grant any more.
 	AllocatorStartsLate
-	// GrantExpires: operations that were granted can be begun for a short time only.
+	// GrantExpires: granted operations can be started for a short time only.
 	GrantExpires
-	// GrantConfirmed: a primary grants operations only if a majority has confirmed it a moment ago.
+	// GrantConfirmed: a primary grants operations only if a majority has confirmed it recently.
 	GrantConfirmed
 )
 
-// Set is a set of guards that are taken out; its zero value takes out none.
+// Set is a set of guards. Components are given the set of disabled guards; the zero value disables none.
 type Set uint16
 
-// With takes one more out.
+// With returns the set with one more guard.
 func (s Set) With(guard Guard) Set { return s | Set(guard) }
 
-// Has tells whether a guard is taken out.
+// Has tells whether the set contains a guard.
 func (s Set) Has(guard Guard) bool { return s&Set(guard) != 0 }
--- a/control/registry/api.go
+++ b/control/registry/api.go
@@ -1,38 +1,37 @@
-// Package registry follows the instances by their heartbeats.
+// Package registry tracks the instances by their heartbeats.
 //
-// What all gateways must know of an instance is recorded in the control state: that it is there and where, that it is
-// draining, that it has left. When it was last heard is known to the primary controller only, in memory; a new primary
-// counts each instance as heard when it takes over.
+// What all gateways must know of an instance is recorded in the control state: that it exists and at which address, that it is
+// draining, that it has left. When it last sent a heartbeat is known to the primary controller only, in memory; a new primary
+// counts each instance as alive at its takeover.
 //
 // # Order of calls
 //
-// An instance numbers its calls (callSeq), so that a late one is recognised, whichever way it came. A beat is late if its
-// number is lower than the highest seen, or not higher than the one recorded. Late beats change nothing, and their role
-// doesn't count. A beat with the highest number seen, sent again, is decided on again: the change that it called for may
+// An instance numbers its calls (callSeq), so that a late one is recognised, whichever way it came. A heartbeat is late if its
+// number is lower than the highest seen, or not higher than the recorded one. Late heartbeats change nothing, and their role
+// doesn't count. When the heartbeat with the highest number arrives again, it is processed again: the change that it called for may
 // not have been committed.
 //
-// An instance that was started again under its id may number its calls from a low number again. It is taken for started
-// again when
-//   - late beats with rising numbers have come for at least restartEvidence, with no beat of the old count in between:
-//     beats that were held up come in a burst, or mixed with newer ones; or
-//   - it was taken for lost, and a late beat says that the instance is still warming up: an instance is warming up only
-//     after its start, and a beat of its earlier start would have been held up for its whole life.
+// An instance that is restarted under the same id may begin again with low numbers. It counts as restarted when
+//   - late heartbeats with rising numbers have arrived for at least restartEvidence, with no heartbeat of the old numbering in between:
+//     delayed heartbeats arrive in a burst, or mixed with newer ones; or
+//   - it was recorded as lost, and a late heartbeat says that the instance is still warming up: an instance warms up only
+//     after its start, and a heartbeat of its earlier start would have been delayed for its whole life.
 //
-// # Coming back
+// # Return of an instance
 //
-// A drain and a leave that were acknowledged are final for the life of an instance: gateways and operators rely on them. Some instances
-// leave without having drained, go on beating, and say that they are ready, and a beat may come seconds late; so no beat of the
-// same life takes an end back, whatever its number. Another life shows itself by a new count with a beat in it that says that
-// the instance is warming up.
+// An acknowledged drain or leave is final for the life of an instance: gateways and operators rely on it. Some instances
+// leave without having drained, go on sending heartbeats and report that they are ready, and a heartbeat may arrive seconds late; so no
+// heartbeat of the same life reverts a drain or a leave, whatever its number. A new life shows itself by a new numbering with a
+// heartbeat in it that says that the instance is warming up.
 //
-// An instance that was taken for lost, or whose address another one had, comes back with the next beat that isn't late; if it
-// drained, it still does. Nobody comes back to an address at which another instance is present.
+// An instance that was recorded as lost, or whose address another instance had, comes back with the next heartbeat that isn't late; if it
+// was draining, it still is. No instance comes back to an address at which another one is present.
 //
-// Addresses are used again. An instance that appears at the address of another shows that the other has ended, and the
+// Addresses are reused. An instance that appears at the address of another shows that the other has ended, and the
 // other is recorded as having left.
 package registry
 
-// Heartbeat is the body of POST /instances/ID/heartbeat, with the id of its path.
+// Heartbeat is the body of POST /instances/ID/heartbeat, with the id from the path.
 type Heartbeat struct {
 	InstanceID     string `json:"-"`
 	TargetService  string `json:"targetService" validate:"required"`
@@ -42,6 +41,6 @@
 	SlotCount      int    `json:"slotCount" validate:"gte=0"`
 	OperState      string `json:"operState" validate:"oneof=ready draining"`
 	WarmupLeftMs   int64  `json:"warmupLeftMs"`
-	DBRole         string `json:"dbRole" validate:"omitempty,oneof=primary replica"` // "": not said
+	DBRole         string `json:"dbRole" validate:"omitempty,oneof=primary replica"` // "": not stated
 	CallSeq        uint64 `json:"callSeq"`
 }
--- a/control/registry/cost_test.go
+++ b/control/registry/cost_test.go
@@ -10,16 +10,15 @@
 	"eiderway/control/state/statetest"
 )
 
-// BenchmarkNewInstances is a fleet of 1,074 instances that a controller hears of for the first time, each in a change of
-// its own.
+// BenchmarkNewInstances registers a fleet of 1,074 instances that the controller doesn't know yet, each in its own transaction.
 func BenchmarkNewInstances(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
 		memory := statetest.NewMemory()
-		beats := registry.New(0, time.Minute)
+		instances := registry.New(0, time.Minute)
 		for index := range 1074 {
 			transaction := state.NewTransaction(memory)
-			beats.Heartbeat(0, transaction, registry.Heartbeat{
+			instances.Heartbeat(0, transaction, registry.Heartbeat{
 				InstanceID:    fmt.Sprintf("i%04d", index),
 				TargetService: fmt.Sprintf("s%d", index/3),
 				Address:       fmt.Sprintf("10.0.%d.%d:5432", index/250, index%250),
--- a/control/registry/heartbeat.go
+++ b/control/registry/heartbeat.go
@@ -12,10 +12,10 @@
 	"eiderway/control/state"
 )
 
-// MaxBody is the largest body of a heartbeat that is read, in bytes. Known ones have about 250.
+// MaxBody is the largest heartbeat body that is accepted, in bytes. Bodies seen so far have about 250.
 const MaxBody = 16 << 10
 
-// maxIDLength bounds the ids of instances, in bytes: each is kept for long.
+// maxIDLength is the length limit of instance ids, in bytes: an id is kept for long after its instance has left.
 const maxIDLength = 256
 
 // Values of Heartbeat.OperState and Heartbeat.DBRole.
@@ -26,67 +26,67 @@
 	Replica  = "replica"
 )
 
-// InvalidHeartbeatError says why a heartbeat is refused.
+// InvalidHeartbeatError says why a heartbeat is rejected.
 type InvalidHeartbeatError struct {
 	Field   string // "": the body as a whole
 	Problem string
 }
 
-func (b *InvalidHeartbeatError) Error() string {
-	if b.Field == "" {
-		return "heartbeat: " + b.Problem
+func (e *InvalidHeartbeatError) Error() string {
+	if e.Field == "" {
+		return "heartbeat: " + e.Problem
 	}
-	return fmt.Sprintf("heartbeat: %s %s", b.Field, b.Problem)
+	return fmt.Sprintf("heartbeat: %s %s", e.Field, e.Problem)
 }
 
-// heartbeatBody tells a callSeq of 0 from one that is missing.
+// heartbeatBody distinguishes a callSeq of 0 from a missing one.
 type heartbeatBody struct {
 	Heartbeat
 	CallSeq *uint64 `json:"callSeq"`
 }
 
-// fieldChecks holds the rules that the tags of Heartbeat state. It is never changed.
-var fieldChecks = newFieldChecks()
+// fieldValidator checks the rules in the tags of Heartbeat. It is never changed.
+var fieldValidator = newFieldValidator()
 
-func newFieldChecks() *validator.Validate {
-	checks := validator.New(validator.WithRequiredStructEnabled())
-	checks.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("json") })
-	return checks
+func newFieldValidator() *validator.Validate {
+	fields := validator.New(validator.WithRequiredStructEnabled())
+	fields.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("json") })
+	return fields
 }
 
-// ParseHeartbeat reads the body of a heartbeat of the instance with this id. Unknown fields are ignored. The error is a
+// ParseHeartbeat parses and checks the body of a heartbeat of the instance with this id. Unknown fields are ignored. The error is an
 // *InvalidHeartbeatError.
 func ParseHeartbeat(id string, body []byte) (Heartbeat, error) {
-	if !validID(id) {
+	if !isValidID(id) {
 		return Heartbeat{}, &InvalidHeartbeatError{Field: "id", Problem: "is empty, too long or not UTF-8"}
 	}
 	if len(body) > MaxBody {
 		return Heartbeat{}, &InvalidHeartbeatError{Problem: fmt.Sprintf("is larger than %d bytes", MaxBody)}
 	}
-	var read heartbeatBody
-	if err := json.Unmarshal(body, &read); err != nil {
+	var parsed heartbeatBody
+	if err := json.Unmarshal(body, &parsed); err != nil {
 		return Heartbeat{}, &InvalidHeartbeatError{Problem: err.Error()}
 	}
-	if read.CallSeq == nil {
+	if parsed.CallSeq == nil {
 		return Heartbeat{}, &InvalidHeartbeatError{Field: "callSeq", Problem: "is missing"}
 	}
-	beat := read.Heartbeat
-	beat.InstanceID = id
-	beat.CallSeq = *read.CallSeq
-	if err := checkFields(beat); err != nil {
+	heartbeat := parsed.Heartbeat
+	heartbeat.InstanceID = id
+	heartbeat.CallSeq = *parsed.CallSeq
+	if err := checkFields(heartbeat); err != nil {
 		return Heartbeat{}, err
 	}
-	return beat, nil
+	return heartbeat, nil
 }
 
-// IsRoutine tells whether a beat of an instance with this record says nothing that must be recorded, or looked at closer: a backup may take it and
-// tell the primary.
+// IsRoutine tells whether a heartbeat of an instance with this record contains nothing that the primary must record or examine: a
+// backup may accept it and forward it to the primary.
 func (b Heartbeat) IsRoutine(record state.Instance) bool {
 	isReady := b.OperState == Ready && !record.Draining && !record.Left && !record.HasAnnouncedLeave()
 	return isReady && b.CallSeq > record.CallSeq && record.Instance == instanceOf(b)
 }
 
-// RoutineHeartbeat is a beat that says what is recorded of the instance.
+// RoutineHeartbeat returns a heartbeat that matches the record of the instance.
 func RoutineHeartbeat(record state.Instance, callSeq uint64, role string, warmupLeftMs int64) Heartbeat {
 	return Heartbeat{
 		InstanceID:    record.ID,
@@ -101,12 +101,12 @@
 	}
 }
 
-func validID(id string) bool {
+func isValidID(id string) bool {
 	return id != "" && len(id) <= maxIDLength && utf8.ValidString(id)
 }
 
-func checkFields(beat Heartbeat) error {
-	err := fieldChecks.Struct(beat)
+func checkFields(heartbeat Heartbeat) error {
+	err := fieldValidator.Struct(heartbeat)
 	if err == nil {
 		return nil
 	}
--- a/control/registry/order.go
+++ b/control/registry/order.go
@@ -6,48 +6,48 @@
 	"eiderway/control/state"
 )
 
-// order of a beat among those of its instance.
-type order int
+// callOrder is the place of a heartbeat among the calls of its instance.
+type callOrder int
 
 const (
-	late      order = iota // a newer one was taken before
-	again                  // the newest one, sent again
-	newer                  // newer than all that were seen
-	restarted              // the first one that counts since the instance numbers its calls anew
-	reborn                 // the same, and it has warmed up meanwhile: its process was started anew
+	late             callOrder = iota // a newer one has been accepted before
+	repeated                          // the newest one, sent again
+	newer                             // newer than all seen so far
+	renumbered                        // the first one accepted after the instance began to number its calls from a low number again
+	restartedProcess                  // renumbered, and the instance has warmed up since: its process was restarted
 )
 
-// countsAnew tells whether the number of the beat is the first of a new count that must be recorded.
-func (o order) countsAnew() bool { return o == restarted || o == reborn }
+// isRenumbered tells whether the heartbeat is the first accepted one of a new numbering, which must be recorded.
+func (o callOrder) isRenumbered() bool { return o == renumbered || o == restartedProcess }
 
-func orderOf(now time.Duration, seen *sighting, record state.Instance, beat Heartbeat) order {
+func orderOf(now time.Duration, seen *observation, record state.Instance, heartbeat Heartbeat) callOrder {
 	switch {
-	case isLate(seen, record, beat.CallSeq):
-		return orderOfLate(now, seen, record, beat)
-	case seen.counted && beat.CallSeq == seen.highest:
-		return again
+	case isLate(seen, record, heartbeat.CallSeq):
+		return orderOfLate(now, seen, record, heartbeat)
+	case seen.hasSequence && heartbeat.CallSeq == seen.highest:
+		return repeated
 	default:
 		return newer
 	}
 }
 
-func isLate(seen *sighting, record state.Instance, callSeq uint64) bool {
-	if seen.counted && callSeq < seen.highest {
+func isLate(seen *observation, record state.Instance, callSeq uint64) bool {
+	if seen.hasSequence && callSeq < seen.highest {
 		return true
 	}
 	return record.ID != "" && callSeq <= record.CallSeq
 }
 
-// orderOfLate finds out whether a beat that seems late shows that the instance was started again.
-func orderOfLate(now time.Duration, seen *sighting, record state.Instance, beat Heartbeat) order {
-	warming := beat.WarmupLeftMs > 0
+// orderOfLate finds out whether a heartbeat that seems late shows that the instance was restarted.
+func orderOfLate(now time.Duration, seen *observation, record state.Instance, heartbeat Heartbeat) callOrder {
+	isWarmingUp := heartbeat.WarmupLeftMs > 0
 	switch {
-	case record.Lost && warming:
-		return reborn
-	case !seen.anew.follow(now, beat.CallSeq, warming):
+	case record.Lost && isWarmingUp:
+		return restartedProcess
+	case !seen.renumbering.observe(now, heartbeat.CallSeq, isWarmingUp):
 		return late
-	case seen.anew.warmed:
-		return reborn
+	case seen.renumbering.sawWarmup:
+		return restartedProcess
 	}
-	return restarted
+	return renumbered
 }
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -10,75 +10,75 @@
 	"eiderway/control/state"
 )
 
-// Registry follows the instances for as long as a controller is primary; it is made anew when one becomes primary. It
-// has no clock: time is handed in and never runs backwards.
+// Registry tracks the instances for as long as a controller is primary; a new one is made when a controller becomes primary.
+// It has no clock: the time is passed in and never runs backwards.
 type Registry struct {
-	lostAfter time.Duration
-	lacking   guard.Set
-	sightings map[string]*sighting
-	silence   silence
+	lostAfter      time.Duration
+	disabledGuards guard.Set
+	observations   map[string]*observation // by instance id
+	expiry         expiryTimer
 }
 
-// New makes a registry that takes an instance for lost when it has been silent for lostAfter. All instances count as
-// heard now.
+// New makes a registry that treats an instance as lost when it has been silent for lostAfter. All instances count as
+// alive now.
 func New(now, lostAfter time.Duration) *Registry {
 	return &Registry{
-		lostAfter: lostAfter,
-		sightings: make(map[string]*sighting),
-		silence:   newSilence(now, lostAfter),
+		lostAfter:    lostAfter,
+		observations: make(map[string]*observation),
+		expiry:       newExpiryTimer(now, lostAfter),
 	}
 }
 
-// DisableGuards takes guards out, for tests.
+// DisableGuards disables guards, for tests.
 func (r *Registry) DisableGuards(guards guard.Set) *Registry {
-	r.lacking = guards
+	r.disabledGuards = guards
 	return r
 }
 
 // HeartbeatResult says what became of a heartbeat.
 type HeartbeatResult struct {
-	Fresh   bool // its callSeq is newer than every one seen of this instance, so its role counts
-	Changed bool // the transaction changes this instance: the beat may be acknowledged only when that is committed
+	Fresh   bool // its callSeq is higher than any seen of this instance before, so its role counts
+	Changed bool // the transaction changes this instance: the heartbeat may be acknowledged only after the commit
 }
 
-// Heartbeat takes a heartbeat. The transaction gets what all gateways must know of it.
-func (r *Registry) Heartbeat(now time.Duration, tx *state.Transaction, beat Heartbeat) HeartbeatResult {
-	r.silence.pass(now)
-	fresh := r.take(now, tx, beat)
-	return HeartbeatResult{Fresh: fresh, Changed: tx.InstanceChanged(beat.InstanceID)}
+// Heartbeat handles a heartbeat. What all gateways must know of it goes into the transaction.
+func (r *Registry) Heartbeat(now time.Duration, tx *state.Transaction, heartbeat Heartbeat) HeartbeatResult {
+	r.expiry.advance(now)
+	fresh := r.apply(now, tx, heartbeat)
+	return HeartbeatResult{Fresh: fresh, Changed: tx.InstanceChanged(heartbeat.InstanceID)}
 }
 
-func (r *Registry) take(now time.Duration, tx *state.Transaction, beat Heartbeat) (fresh bool) {
-	record, known := state.InstanceByID(tx, beat.InstanceID)
-	seen := r.sighting(beat.InstanceID)
-	order := orderOf(now, seen, record, beat)
+func (r *Registry) apply(now time.Duration, tx *state.Transaction, heartbeat Heartbeat) (fresh bool) {
+	record, isKnown := state.InstanceByID(tx, heartbeat.InstanceID)
+	seen := r.observation(heartbeat.InstanceID)
+	order := orderOf(now, seen, record, heartbeat)
 	if order == late {
 		return false
 	}
-	seen.take(now, beat.CallSeq)
-	if record.Left && !r.mayReturn(tx, record, order, beat) {
-		noteDrainOfDeparted(tx, record, beat)
+	seen.accept(now, heartbeat.CallSeq)
+	if record.Left && !r.canReturn(tx, record, order, heartbeat) {
+		recordDrainOfDeparted(tx, record, heartbeat)
 		return false
 	}
-	current := r.nextRecord(record, order, beat)
-	if known && !record.Left && !order.countsAnew() && record.Instance == current.Instance {
-		return order != again
+	current := r.nextRecord(record, order, heartbeat)
+	if isKnown && !record.Left && !order.isRenumbered() && record.Instance == current.Instance {
+		return order != repeated
 	}
 	if record.Left || record.Address != current.Address {
-		r.displace(tx, current.Instance)
+		r.displaceOthers(tx, current.Instance)
 	}
 	tx.PutInstance(current)
-	return order != again
+	return order != repeated
 }
 
-// nextRecord is what a beat makes of the record of its instance. An end that was said stays, except in another life.
-func (r *Registry) nextRecord(record state.Instance, order order, beat Heartbeat) state.Instance {
-	next := state.Instance{Instance: instanceOf(beat), CallSeq: beat.CallSeq, Life: record.Life}
-	if order == reborn {
+// nextRecord returns the record of an instance after a heartbeat. An acknowledged drain or leave stays, unless the process was restarted.
+func (r *Registry) nextRecord(record state.Instance, order callOrder, heartbeat Heartbeat) state.Instance {
+	next := state.Instance{Instance: instanceOf(heartbeat), CallSeq: heartbeat.CallSeq, Life: record.Life}
+	if order == restartedProcess {
 		next.Life++
 		return next
 	}
-	if r.lacking.Has(guard.EndIsFinal) {
+	if r.disabledGuards.Has(guard.EndIsFinal) {
 		return next
 	}
 	next.Draining = next.Draining || record.Draining
@@ -86,41 +86,41 @@
 	return next
 }
 
-func instanceOf(beat Heartbeat) feed.Instance {
+func instanceOf(heartbeat Heartbeat) feed.Instance {
 	return feed.Instance{
-		ID:       beat.InstanceID,
-		Service:  beat.TargetService,
-		Address:  beat.Address,
-		Zone:     beat.Zone,
-		Slots:    beat.SlotCount,
-		Draining: beat.OperState == Draining,
+		ID:       heartbeat.InstanceID,
+		Service:  heartbeat.TargetService,
+		Address:  heartbeat.Address,
+		Zone:     heartbeat.Zone,
+		Slots:    heartbeat.SlotCount,
+		Draining: heartbeat.OperState == Draining,
 	}
 }
 
-// mayReturn tells whether a beat that isn't late brings back an instance that left. One that said itself that it leaves is back
-// only in another life.
-func (r *Registry) mayReturn(reader state.Reader, record state.Instance, order order, beat Heartbeat) bool {
-	if record.HasAnnouncedLeave() && order != reborn && !r.lacking.Has(guard.EndIsFinal) {
+// canReturn tells whether a heartbeat that isn't late brings back an instance that has left. An instance that announced its leave comes
+// back only after a restart of its process.
+func (r *Registry) canReturn(reader state.Reader, record state.Instance, order callOrder, heartbeat Heartbeat) bool {
+	if record.HasAnnouncedLeave() && order != restartedProcess && !r.disabledGuards.Has(guard.EndIsFinal) {
 		return false
 	}
-	return len(othersAt(reader, instanceOf(beat))) == 0
+	return len(othersAt(reader, instanceOf(heartbeat))) == 0
 }
 
-// noteDrainOfDeparted records that an instance drains that was taken for gone and can't come back now. Its drain is acknowledged, so
-// it must not be used when it can.
-func noteDrainOfDeparted(tx *state.Transaction, record state.Instance, beat Heartbeat) {
-	if beat.OperState != Draining || record.Draining || record.HasAnnouncedLeave() {
+// recordDrainOfDeparted records that a departed instance that can't come back now is draining. Its drain is acknowledged, so it must not be
+// used when it comes back later.
+func recordDrainOfDeparted(tx *state.Transaction, record state.Instance, heartbeat Heartbeat) {
+	if heartbeat.OperState != Draining || record.Draining || record.HasAnnouncedLeave() {
 		return
 	}
 	record.Draining = true
-	record.CallSeq = max(record.CallSeq, beat.CallSeq)
+	record.CallSeq = max(record.CallSeq, heartbeat.CallSeq)
 	tx.PutInstance(record)
 }
 
-// displace records that those have left at whose address another instance has appeared.
-func (r *Registry) displace(tx *state.Transaction, current feed.Instance) {
+// displaceOthers records the departure of the instances at whose address another one has appeared.
+func (r *Registry) displaceOthers(tx *state.Transaction, current feed.Instance) {
 	for _, other := range othersAt(tx, current) {
-		r.putLeft(tx, other, displaced)
+		r.recordDeparture(tx, other, addressReused)
 	}
 }
 
@@ -131,78 +131,79 @@
 	})
 }
 
-// Leave records that an instance has said that it leaves. One that has drained is gone. One that hasn't serves on for as long first, and
-// may receive and acknowledge meanwhile: it drains from now on, until it is silent or another is at its address. One that was
-// never heard of is recorded too: its beats may still be on their way.
+// Leave records that an instance has announced its leave. An instance that has drained departs at once. One that hasn't may go on serving
+// for as long as a drain takes, and receive and acknowledge statements meanwhile: it drains from now on, until it is silent or another
+// instance appears at its address. An unknown instance is recorded too: its heartbeats may still be on their way.
 func (r *Registry) Leave(_ time.Duration, tx *state.Transaction, id string) {
-	if !validID(id) {
+	if !isValidID(id) {
 		return
 	}
-	record, known := state.InstanceByID(tx, id)
-	if known && record.HasAnnouncedLeave() {
+	record, isKnown := state.InstanceByID(tx, id)
+	if isKnown && record.HasAnnouncedLeave() {
 		return
 	}
-	if known && !record.Left && !record.Draining && !r.lacking.Has(guard.LeaverDrains) {
+	if isKnown && !record.Left && !record.Draining && !r.disabledGuards.Has(guard.LeaverDrains) {
 		record.Draining, record.Farewell = true, true
 		record.CallSeq = r.highestSeen(record)
 		tx.PutInstance(record)
 		return
 	}
 	record.ID = id
-	r.putLeft(tx, record, farewell)
+	r.recordDeparture(tx, record, leaveAnnounced)
 }
 
-// highestSeen is the highest callSeq that was seen of an instance.
+// highestSeen returns the highest callSeq seen of an instance.
 func (r *Registry) highestSeen(record state.Instance) uint64 {
-	if seen, found := r.sightings[record.ID]; found && seen.counted {
+	if seen, found := r.observations[record.ID]; found && seen.hasSequence {
 		return max(record.CallSeq, seen.highest)
 	}
 	return record.CallSeq
 }
 
-// ending is why an instance is taken for gone.
-type ending int
+// departureReason says why an instance counts as departed.
+type departureReason int
 
 const (
-	farewell  ending = iota // it said so
-	silent                  // it has been silent for too long
-	displaced               // another one is at its address
+	leaveAnnounced departureReason = iota // the instance announced its leave
+	timedOut                              // the instance has been silent for too long
+	addressReused                         // another instance is at its address
 )
 
-// putLeft records that an instance has left, with the highest callSeq that was seen of it.
-func (r *Registry) putLeft(tx *state.Transaction, record state.Instance, why ending) {
+// recordDeparture records that an instance has departed, with the highest callSeq seen of it.
+func (r *Registry) recordDeparture(tx *state.Transaction, record state.Instance, reason departureReason) {
 	record.CallSeq = r.highestSeen(record)
 	record.Uncovered = record.Uncovered || !record.Left
 	record.Left = true
-	record.Farewell = record.Farewell || why == farewell
-	record.Lost = why == silent
-	record.Displaced = why == displaced
+	record.Farewell = record.Farewell || reason == leaveAnnounced
+	record.Lost = reason == timedOut
+	record.Displaced = reason == addressReused
 	tx.PutInstance(record)
 }
 
-// SilentFor is how long nothing was heard of an instance; at the most since this registry was made.
+// SilentFor returns for how long an instance has been silent. Silence before this registry was made, or before this process last stalled,
+// doesn't count.
 func (r *Registry) SilentFor(now time.Duration, id string) time.Duration {
-	return now - max(r.sighting(id).heard, r.silence.since)
+	return now - max(r.observation(id).aliveAt, r.expiry.since)
 }
 
-// MarkAlive takes other evidence that an instance is alive, such as the answer to a probe. It does not bring back one that
+// MarkAlive notes other evidence that an instance is alive, such as the answer to a probe. It does not bring back an instance that has
 // left.
 func (r *Registry) MarkAlive(now time.Duration, id string) {
-	r.silence.pass(now)
-	r.sighting(id).heard = now
+	r.expiry.advance(now)
+	r.observation(id).aliveAt = now
 }
 
-// DeferExpiry has an instance not taken for lost for now, though nothing is heard of it.
+// DeferExpiry keeps an instance from expiring for another lostAfter, though it is silent.
 func (r *Registry) DeferExpiry(now time.Duration, id string) {
-	r.silence.pass(now)
-	r.sighting(id).kept = now
+	r.expiry.advance(now)
+	r.observation(id).deferredAt = now
 }
 
-func (r *Registry) sighting(id string) *sighting {
-	seen, found := r.sightings[id]
+func (r *Registry) observation(id string) *observation {
+	seen, found := r.observations[id]
 	if !found {
-		seen = &sighting{}
-		r.sightings[id] = seen
+		seen = &observation{}
+		r.observations[id] = seen
 	}
 	return seen
 }
--- a/control/registry/scenario_test.go
+++ b/control/registry/scenario_test.go
@@ -14,16 +14,16 @@
 	"eiderway/testing/scenario"
 )
 
-// Scenarios are text files. A line is a time, a command and, after "->", what must come of it:
+// Scenarios are text files. A line is a time, a command and, after "->", the expected result:
 //
-//	beat ID key=value ...  "fresh" or "old", then "changed" if it must be committed first. Keys: seq, addr, state, warmup, slots
+//	beat ID key=value ...  a heartbeat: "fresh" or "old", then "changed" if it must be committed first. Keys: seq, addr, state, warmup, slots
 //	leave ID, heard ID     nothing
-//	leader ID, intent ID   nothing: the instance is recorded as leader, or as the one that is to lead
+//	leader ID, intent ID   nothing: the instance is recorded as leader, or as the next leader
 //	takeover               nothing: another controller is primary now
-//	freeze                 nothing: the controller stood still since the line before
-//	show                   each recorded instance: ID=STATE, with @ADDRESS while it is here
+//	freeze                 nothing: the controller stalled since the line before
+//	show                   each recorded instance: ID=STATE, with @ADDRESS while it is present
 //
-// "uncommitted" before a command drops what it changed. Between lines the registry looks for lost instances every tick,
+// "uncommitted" before a command discards what it changed. Between lines the registry checks for lost instances every tick,
 // as a controller does.
 
 const (
@@ -34,10 +34,10 @@
 func TestScenarios(t *testing.T) { scenario.Each(t, runScenario) }
 
 func runScenario(t *testing.T, file string) {
-	world := &world{memory: statetest.NewMemory(), registry: registry.New(0, scenarioLost)}
+	env := &testEnv{memory: statetest.NewMemory(), registry: registry.New(0, scenarioLost)}
 	for _, line := range scenario.MustRead(t, file) {
 		before, want, _ := strings.Cut(line.Text, "->")
-		got, err := world.step(strings.Fields(before))
+		got, err := env.step(strings.Fields(before))
 		if err != nil {
 			t.Fatalf("%s: %v", line.Place, err)
 		}
@@ -47,59 +47,59 @@
 	}
 }
 
-// world is a registry over a control state, on simulated time.
-type world struct {
+// testEnv is a registry over a control state, on simulated time.
+type testEnv struct {
 	now      time.Duration
 	memory   *statetest.Memory
 	registry *registry.Registry
 }
 
-func (w *world) step(words []string) (string, error) {
+func (e *testEnv) step(words []string) (string, error) {
 	at, err := time.ParseDuration(words[0])
 	if err != nil {
 		return "", err
 	}
 	words = words[1:]
 	if words[0] == "freeze" {
-		w.now = at
+		e.now = at
 		return "", nil
 	}
-	w.tickUntil(at)
-	commits := words[0] != "uncommitted"
-	if !commits {
+	e.tickUntil(at)
+	isCommitted := words[0] != "uncommitted"
+	if !isCommitted {
 		words = words[1:]
 	}
-	transaction := state.NewTransaction(w.memory)
-	said, err := w.command(transaction, words)
-	if commits {
-		w.memory.Commit(transaction)
+	transaction := state.NewTransaction(e.memory)
+	result, err := e.command(transaction, words)
+	if isCommitted {
+		e.memory.Commit(transaction)
 	}
-	return said, err
+	return result, err
 }
 
-func (w *world) tickUntil(at time.Duration) {
-	for w.now < at {
-		w.now = min(w.now+scenarioTick, at)
-		transaction := state.NewTransaction(w.memory)
-		w.registry.Expire(w.now, transaction)
-		w.memory.Commit(transaction)
+func (e *testEnv) tickUntil(at time.Duration) {
+	for e.now < at {
+		e.now = min(e.now+scenarioTick, at)
+		transaction := state.NewTransaction(e.memory)
+		e.registry.Expire(e.now, transaction)
+		e.memory.Commit(transaction)
 	}
 }
 
-func (w *world) command(transaction *state.Transaction, words []string) (string, error) {
+func (e *testEnv) command(transaction *state.Transaction, words []string) (string, error) {
 	switch words[0] {
 	case "beat":
-		return w.beat(transaction, words[1:])
+		return e.heartbeat(transaction, words[1:])
 	case "leave":
-		w.registry.Leave(w.now, transaction, words[1])
+		e.registry.Leave(e.now, transaction, words[1])
 	case "heard":
-		w.registry.MarkAlive(w.now, words[1])
+		e.registry.MarkAlive(e.now, words[1])
 	case "leader":
 		transaction.SetLeader("s", feed.Leader{InstanceID: words[1], Term: 1})
 	case "intent":
 		transaction.SetIntent(intentFor(words[1]))
 	case "takeover":
-		w.registry = registry.New(w.now, scenarioLost)
+		e.registry = registry.New(e.now, scenarioLost)
 	case "show":
 		return show(transaction), nil
 	default:
@@ -108,37 +108,37 @@
 	return "", nil
 }
 
-func (w *world) beat(transaction *state.Transaction, words []string) (string, error) {
-	beat := registry.Heartbeat{InstanceID: words[0], TargetService: "s", Address: words[0] + ":1", OperState: registry.Ready, SlotCount: 7}
+func (e *testEnv) heartbeat(transaction *state.Transaction, words []string) (string, error) {
+	heartbeat := registry.Heartbeat{InstanceID: words[0], TargetService: "s", Address: words[0] + ":1", OperState: registry.Ready, SlotCount: 7}
 	for _, option := range words[1:] {
-		if err := setOption(&beat, option); err != nil {
+		if err := setOption(&heartbeat, option); err != nil {
 			return "", err
 		}
 	}
-	taken := w.registry.Heartbeat(w.now, transaction, beat)
-	said := "old"
-	if taken.Fresh {
-		said = "fresh"
+	result := e.registry.Heartbeat(e.now, transaction, heartbeat)
+	text := "old"
+	if result.Fresh {
+		text = "fresh"
 	}
-	if taken.Changed {
-		said += " changed"
+	if result.Changed {
+		text += " changed"
 	}
-	return said, nil
+	return text, nil
 }
 
-func setOption(beat *registry.Heartbeat, option string) (err error) {
+func setOption(heartbeat *registry.Heartbeat, option string) (err error) {
 	key, value, _ := strings.Cut(option, "=")
 	switch key {
 	case "seq":
-		beat.CallSeq, err = strconv.ParseUint(value, 10, 64)
+		heartbeat.CallSeq, err = strconv.ParseUint(value, 10, 64)
 	case "warmup":
-		beat.WarmupLeftMs, err = strconv.ParseInt(value, 10, 64)
+		heartbeat.WarmupLeftMs, err = strconv.ParseInt(value, 10, 64)
 	case "slots":
-		beat.SlotCount, err = strconv.Atoi(value)
+		heartbeat.SlotCount, err = strconv.Atoi(value)
 	case "addr":
-		beat.Address = value
+		heartbeat.Address = value
 	case "state":
-		beat.OperState = value
+		heartbeat.OperState = value
 	default:
 		err = fmt.Errorf("unknown option %q", option)
 	}
