--- a/control/access/access.go
+++ b/control/access/access.go
@@ -1,5 +1,5 @@
-// Package access decides which clients may use which routes: whose key is whose by a configuration, and for how long keys may be
-// taken for good by somebody who hears nothing. It does no I/O and knows no clock.
+// Package access decides which clients may use which routes: which tenant a key belongs to in a configuration, and for how long keys may be
+// accepted without contact to the controllers. It does no I/O and has no clock.
 package access
 
 import (
@@ -9,22 +9,22 @@
 	"eiderway/control/configuration"
 )
 
-// Key is the hash of the key with which a client connected. Keys are compared by it alone, so that the time that a comparison takes
-// tells nothing of a key, and no key is kept longer than it takes to read the CONNECT.
+// Key is the hash of the key with which a client connected. Keys are compared only by their hashes, so that the duration of a comparison
+// reveals nothing about a key, and the key itself is kept no longer than it takes to read the CONNECT.
 type Key [sha256.Size]byte
 
 // NewKey hashes a client's key.
 func NewKey(key string) Key { return sha256.Sum256([]byte(key)) }
 
-// Table says whose key is whose, by one configuration. Its zero value requires no key.
+// Table maps keys to tenants, as one configuration has them. Its zero value requires no key.
 type Table struct {
-	required bool           // the system has tenants: routes take known keys only, but for those that need none
-	tenants  map[Key]string // by key
+	requiresKeys bool           // the configuration has a table of tenants
+	tenants      map[Key]string // tenant names by key
 }
 
-// NewTable reads the tenants of a configuration.
+// NewTable makes the table of the tenants in a configuration.
 func NewTable(contents *configuration.Contents) Table {
-	table := Table{required: contents.HasTenants, tenants: map[Key]string{}}
+	table := Table{requiresKeys: contents.HasTenants, tenants: map[Key]string{}}
 	for _, tenant := range contents.Tenants {
 		for _, key := range tenant.Keys {
 			table.tenants[NewKey(key)] = tenant.Name
@@ -33,50 +33,50 @@
 	return table
 }
 
-// RequiresKeys tells whether routes take known keys only, but for those that need none.
-func (t Table) RequiresKeys() bool { return t.required }
+// RequiresKeys tells whether routes accept known keys only, except for routes without authentication.
+func (t Table) RequiresKeys() bool { return t.requiresKeys }
 
-// Authorize tells as whose tenant a client with this key uses the route; "": as nobody's, where no key is needed.
-func (t Table) Authorize(route configuration.Route, key Key) (tenant string, admitted bool) {
-	tenant, known := t.tenants[key]
-	return tenant, known || !t.required || route.NoAuth
+// Authorize tells whether a client with this key may use the route, and as which tenant; "" stands for no tenant, where no key is needed.
+func (t Table) Authorize(route configuration.Route, key Key) (tenant string, isAuthorized bool) {
+	tenant, isKnown := t.tenants[key]
+	return tenant, isKnown || !t.requiresKeys || route.NoAuth
 }
 
-// AuthorizesAs tells whether a client with this key still uses the route as the same tenant.
+// AuthorizesAs tells whether a client with this key may use the route as this tenant.
 func (t Table) AuthorizesAs(route configuration.Route, key Key, tenant string) bool {
-	now, admitted := t.Authorize(route, key)
-	return admitted && now == tenant
+	current, isAuthorized := t.Authorize(route, key)
+	return isAuthorized && current == tenant
 }
 
-// Grant is the right of a client to a route, as it was found when its first statement was placed.
+// Grant is the right of a client to use a route, as established when its first statement was placed.
 type Grant struct {
 	Route  configuration.Route
 	Key    Key
-	Tenant string // for whom it runs; "": nobody's
+	Tenant string // the tenant for which it runs; "": none
 }
 
-// IsGrantValid tells whether a grant still holds, as far as can be known: outside the lease, inside a transaction, a table is trusted for as
-// long as keys that were taken away may be of use.
+// IsGrantValid tells whether a grant is still valid, as far as can be known. Inside a transaction the table is used beyond the lease
+// too, but only for as long as removed keys may still be accepted.
 func (t Table) IsGrantValid(grant Grant, trust Trust, now time.Duration) bool {
-	needsKey := t.required && !grant.Route.NoAuth
+	needsKey := t.requiresKeys && !grant.Route.NoAuth
 	if needsKey && !trust.IsValid(now) {
 		return false
 	}
 	return t.AuthorizesAs(grant.Route, grant.Key, grant.Tenant)
 }
 
-// Trust is for how long the keys of a table may be taken for good without news.
+// Trust says for how long the keys of a table may be accepted without contact to the controllers.
 type Trust struct {
-	HeardAt  time.Duration // when the question was sent whose answer came last
-	Duration time.Duration // how long after it; 0: for as long as nothing else is heard
+	HeardAt  time.Duration // when the last request that was answered was sent
+	Duration time.Duration // how long after HeardAt; 0: without limit
 }
 
-// IsValid tells whether the keys may still be taken for good.
+// IsValid tells whether the keys may still be accepted.
 func (t Trust) IsValid(now time.Duration) bool { return t.Duration <= 0 || now < t.HeardAt+t.Duration }
 
-// trustedPercent is the part of the time in which a key that was taken away is to be of no use, after which whoever has heard nothing
-// runs no statement with a key any more. The rest is for clocks, and for tables that are made a moment after a commit.
+// trustedPercent is the part of the revocation time for which keys are accepted without contact to the controllers. The rest allows for
+// clock drift, and for the moment between the commit of a configuration and the table made from it.
 const trustedPercent = 90
 
-// TrustDuration gives the Duration of a Trust where a key is to be of no use so long after it was taken away; 0: no bound.
+// TrustDuration returns the Duration of a Trust if removed keys must be refused after the time revoke; 0: without limit.
 func TrustDuration(revoke time.Duration) time.Duration { return revoke * trustedPercent / 100 }
--- a/role/positions.go
+++ b/role/positions.go
@@ -1,9 +1,10 @@
-// Package role keeps what a gateway has seen of the roles of a service's instances, and answers what a read must see. It does no I/O and knows
-// no clock.
+// Package role keeps the log positions that a gateway has seen at the leader of a service, and computes the position that a read must
+// see. It does no I/O and has no clock.
 //
-// A position that was read at the lawful leader of a service covers every commit that had been acknowledged when the question for it was sent: a
-// commit gets its number before it is acknowledged. So a read whose data may be some time old runs at any instance whose log holds a position that
-// was asked for within that time. The instance itself proves that it does (AFTERPOS); nothing is guessed from lags.
+// A position read at the valid leader of a service (the leader by a table under a valid lease, from the request to the answer) covers every
+// commit that had been acknowledged when the request for it was sent: a commit gets its number before it is acknowledged. So a read that
+// tolerates some staleness may run at any instance whose log has reached a position that was requested within that time. The instance
+// itself checks that it has (AFTERPOS); nothing is estimated from lags.
 package role
 
 import (
@@ -13,71 +14,72 @@
 )
 
 const (
-	// spacing is the time between the positions that are kept: finer ones change nothing for bounds of a second.
-	spacing = 50 * time.Millisecond
-	// mostKept is how many are kept: six seconds of a busy service, longer of a quiet one.
-	mostKept = 128
+	// minSpacing is the time between the positions that are kept: finer spacing makes no difference for staleness bounds of a second.
+	minSpacing = 50 * time.Millisecond
+	// maxPositions is how many positions are kept: they cover six seconds of a busy service, and more of a quiet one.
+	maxPositions = 128
 )
 
-// seen is a position of the leader and when it was asked for.
-type seen struct {
-	asked    time.Duration
+// observedPosition is a position of the leader and when it was requested.
+type observedPosition struct {
+	askedAt  time.Duration
 	position failover.Position
 }
 
-// Positions are those of the lawful leader of one service, by when they were asked for, the earliest first.
-type Positions struct{ kept []seen }
+// Positions holds the observed positions of the valid leader of one service, in the order in which they were requested.
+type Positions struct{ kept []observedPosition }
 
-// Record notes a position that the lawful leader named in answer to a question that was sent no earlier than asked.
-func (p *Positions) Record(asked time.Duration, position failover.Position) {
+// Record adds a position that the valid leader reported in answer to a request sent no earlier than askedAt.
+func (p *Positions) Record(askedAt time.Duration, position failover.Position) {
 	count := len(p.kept)
-	if count > 0 && asked <= p.kept[count-1].asked {
-		return // a later question has been answered already
+	if count > 0 && askedAt <= p.kept[count-1].askedAt {
+		return // a later request has been answered already
 	}
-	if count > 1 && asked-p.kept[count-2].asked < spacing {
-		p.kept[count-1] = seen{asked, position}
+	if count > 1 && askedAt-p.kept[count-2].askedAt < minSpacing {
+		p.kept[count-1] = observedPosition{askedAt, position}
 		return
 	}
-	if count == mostKept {
+	if count == maxPositions {
 		copy(p.kept, p.kept[1:])
 		p.kept = p.kept[:count-1]
 	}
-	p.kept = append(p.kept, seen{asked, position})
+	p.kept = append(p.kept, observedPosition{askedAt, position})
 }
 
-// Covering is the lowest position known that covers every commit acknowledged before a moment; false: none is known.
+// Covering returns the lowest known position that covers every commit acknowledged before a moment; false if none is known.
 func (p *Positions) Covering(moment time.Duration) (failover.Position, bool) {
-	for _, one := range p.kept {
-		if one.asked >= moment {
-			return one.position, true
+	for _, observed := range p.kept {
+		if observed.askedAt >= moment {
+			return observed.position, true
 		}
 	}
 	return failover.Position{}, false
 }
 
-// Newest is when the newest position was asked for; false: none is known.
+// Newest returns when the newest position was requested; false if none is known.
 func (p *Positions) Newest() (time.Duration, bool) {
 	if len(p.kept) == 0 {
 		return 0, false
 	}
-	return p.kept[len(p.kept)-1].asked, true
+	return p.kept[len(p.kept)-1].askedAt, true
 }
 
-// staleMargin is the part of a read's bound that is kept back: the read takes time on its way, and may wait at the instance.
-const staleMargin = 5
+// stalenessMarginDivisor gives the part of a read's staleness bound that is kept as a margin, a fifth: the read takes time on its way,
+// and may wait at the instance.
+const stalenessMarginDivisor = 5
 
-// Bound says what a read must see.
+// Bound says which commits a read must see.
 type Bound struct {
-	Staleness time.Duration // all that was acknowledged longer ago than this
-	OwnWrites bool          // and all that its own session committed
+	Staleness time.Duration // all commits acknowledged longer ago than this
+	OwnWrites bool          // and all commits of its own session
 }
 
-// RequiredPosition is the position that a read must see now, given the one that its session's last commit has reached; false: no position is known that
-// covers the bound.
-func (b Bound) RequiredPosition(now time.Duration, positions *Positions, written failover.Position) (failover.Position, bool) {
-	after, covered := positions.Covering(now - b.Staleness + b.Staleness/staleMargin)
-	if b.OwnWrites && after.Less(written) {
-		after = written
+// RequiredPosition returns the position that a read must see now, given the position of its session's last commit; false if no known
+// position covers the bound.
+func (b Bound) RequiredPosition(now time.Duration, positions *Positions, lastCommit failover.Position) (failover.Position, bool) {
+	required, isCovered := positions.Covering(now - b.Staleness + b.Staleness/stalenessMarginDivisor)
+	if b.OwnWrites && required.Less(lastCommit) {
+		required = lastCommit
 	}
-	return after, covered
+	return required, isCovered
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -1,5 +1,5 @@
-// Package routing chooses the instance at which a read of a service runs. It does no I/O, knows no clock, and decides nothing about what a read
-// must see: that is proven at the instance (see package role).
+// Package routing chooses the instance at which a read of a service runs. It does no I/O, has no clock, and doesn't decide what a read
+// must see: the instance itself checks that (see package role).
 package routing
 
 import (
@@ -10,129 +10,130 @@
 	"eiderway/control/feed"
 )
 
-// Result is how a read ended at an instance.
+// Result says how a read ended at an instance.
 type Result int
 
 const (
-	// Served: the instance ran it.
+	// Served: the instance ran the read.
 	Served Result = iota
-	// Lagging: the instance's log lacked the position; nothing was run.
+	// Lagging: the instance's log had not reached the position; nothing was run.
 	Lagging
 	// Busy: the instance had no room, or there was no connection to it.
 	Busy
 	// Failed: the connection broke or could not be made, or there was no answer in time.
 	Failed
-	// Inconclusive: nothing can be said of the instance.
+	// Inconclusive: the result says nothing about the instance.
 	Inconclusive
 )
 
 const (
-	// paceGain is the weight of the newest answer in an instance's pace: about the last dozen answers count.
-	paceGain = 0.12
-	// paceLeast is the pace of one that has not answered yet, so that it is tried.
-	paceLeast = time.Millisecond
-	// otherZone is how much busier an instance of another zone counts: bytes between zones are paid for.
-	otherZone = 1.5
-	// chance is the width of the chance in the choice: gateways that know the same must not all choose the same.
-	chance = 0.2
-	// An instance is left alone after a result that speaks against it, for longer each time in a row.
-	busyRest, mostBusyRest       = 10 * time.Millisecond, 80 * time.Millisecond
-	laggingRest, mostLaggingRest = 60 * time.Millisecond, 500 * time.Millisecond
-	failedRest, mostFailedRest   = 250 * time.Millisecond, 4 * time.Second
+	// latencyGain is the weight of the newest answer in an instance's average latency: about the last dozen answers count.
+	latencyGain = 0.12
+	// minLatency is the lowest latency that counts. It also stands for an instance that has not answered yet, so that it is tried.
+	minLatency = time.Millisecond
+	// otherZoneFactor multiplies the load of an instance in another zone: traffic between zones costs money.
+	otherZoneFactor = 1.5
+	// jitter is the width of the random variation of the loads: gateways with the same knowledge must not all choose the same instance.
+	jitter = 0.2
+	// An instance gets no reads for a while after it was busy, lagging or failed, for longer each time in a row.
+	busyBackoff, maxBusyBackoff       = 10 * time.Millisecond, 80 * time.Millisecond
+	laggingBackoff, maxLaggingBackoff = 60 * time.Millisecond, 500 * time.Millisecond
+	failedBackoff, maxFailedBackoff   = 250 * time.Millisecond, 4 * time.Second
 )
 
-// instance is what is known of one.
-type instance struct {
-	inFlight int
-	pace     time.Duration // of its answers, of late
-	rest     time.Duration // the last one
-	until    time.Duration // it is left alone until then
-	last     Result
+// instanceState is what the picker knows of an instance.
+type instanceState struct {
+	inFlight     int
+	latency      time.Duration // moving average of its answers
+	backoff      time.Duration // the last one
+	backoffUntil time.Duration
+	lastResult   Result
 }
 
 // Picker chooses among the instances of one service.
 type Picker struct {
 	zone   string
 	random *rand.Rand
-	known  map[string]*instance // by instance id; Keep forgets those that are gone
+	states map[string]*instanceState // by instance id; Retain drops those that are gone
 }
 
 // NewPicker makes a picker for a gateway in a zone.
 func NewPicker(zone string, random *rand.Rand) *Picker {
-	return &Picker{zone: zone, random: random, known: map[string]*instance{}}
+	return &Picker{zone: zone, random: random, states: map[string]*instanceState{}}
 }
 
-// Choose picks the least busy of the candidates that haven't been tried and aren't left alone; one of the own zone as long as it is no busier.
+// Choose returns the least loaded of the candidates that haven't been tried, have a free slot and aren't backing off. It prefers the own
+// zone (see otherZoneFactor).
 func (p *Picker) Choose(now time.Duration, candidates []feed.Instance, tried []string) (feed.Instance, bool) {
 	var best feed.Instance
-	least := 0.0
+	lowest := 0.0
 	for _, candidate := range candidates {
-		one := p.of(candidate.ID)
-		full := candidate.Slots > 0 && one.inFlight >= candidate.Slots
-		if full || now < one.until || slices.Contains(tried, candidate.ID) {
+		state := p.stateOf(candidate.ID)
+		isFull := candidate.Slots > 0 && state.inFlight >= candidate.Slots
+		if isFull || now < state.backoffUntil || slices.Contains(tried, candidate.ID) {
 			continue
 		}
-		if busy := p.busyness(one, candidate); best.ID == "" || busy < least {
-			best, least = candidate, busy
+		if load := p.load(state, candidate); best.ID == "" || load < lowest {
+			best, lowest = candidate, load
 		}
 	}
 	return best, best.ID != ""
 }
 
-func (p *Picker) busyness(one *instance, candidate feed.Instance) float64 {
-	busy := float64(one.inFlight+1) * float64(max(one.pace, paceLeast))
+func (p *Picker) load(state *instanceState, candidate feed.Instance) float64 {
+	load := float64(state.inFlight+1) * float64(max(state.latency, minLatency))
 	if candidate.Zone != p.zone {
-		busy *= otherZone
+		load *= otherZoneFactor
 	}
-	return busy * (1 + chance*(p.random.Float64()-0.5))
+	return load * (1 + jitter*(p.random.Float64()-0.5))
 }
 
-// ReadStarted notes that a read goes to an instance.
-func (p *Picker) ReadStarted(id string) { p.of(id).inFlight++ }
+// ReadStarted notes that a read is sent to an instance.
+func (p *Picker) ReadStarted(id string) { p.stateOf(id).inFlight++ }
 
-// ReadEnded notes how it ended.
+// ReadEnded notes how a read ended at an instance.
 func (p *Picker) ReadEnded(now time.Duration, id string, result Result, took time.Duration) {
-	one := p.of(id)
-	one.inFlight = max(0, one.inFlight-1)
+	state := p.stateOf(id)
+	state.inFlight = max(0, state.inFlight-1)
 	switch result {
 	case Served:
-		one.pace += time.Duration(paceGain * float64(took-one.pace))
-		one.rest = 0
+		state.latency += time.Duration(latencyGain * float64(took-state.latency))
+		state.backoff = 0
 	case Busy:
-		one.leaveAlone(now, result, busyRest, mostBusyRest)
+		state.backOff(now, result, busyBackoff, maxBusyBackoff)
 	case Lagging:
-		one.leaveAlone(now, result, laggingRest, mostLaggingRest)
+		state.backOff(now, result, laggingBackoff, maxLaggingBackoff)
 	case Failed:
-		one.leaveAlone(now, result, failedRest, mostFailedRest)
+		state.backOff(now, result, failedBackoff, maxFailedBackoff)
 	}
-	one.last = result
+	state.lastResult = result
 }
 
-// leaveAlone rests the instance: twice as long as the last time, if that was for the same result with nothing else between.
-func (i *instance) leaveAlone(now time.Duration, why Result, least, most time.Duration) {
-	if i.last != why || i.rest == 0 {
-		i.rest = least
-	} else if now >= i.until {
-		i.rest = min(2*i.rest, most)
+// backOff keeps reads away from the instance for a while: twice as long as the last time, if the result before was the same.
+func (i *instanceState) backOff(now time.Duration, result Result, shortest, longest time.Duration) {
+	if i.lastResult != result || i.backoff == 0 {
+		i.backoff = shortest
+	} else if now >= i.backoffUntil {
+		i.backoff = min(2*i.backoff, longest)
 	}
-	i.until = max(i.until, now+i.rest)
+	i.backoffUntil = max(i.backoffUntil, now+i.backoff)
 }
 
-func (p *Picker) of(id string) *instance {
-	one, found := p.known[id]
+func (p *Picker) stateOf(id string) *instanceState {
+	state, found := p.states[id]
 	if !found {
-		one = &instance{}
-		p.known[id] = one
+		state = &instanceState{}
+		p.states[id] = state
 	}
-	return one
+	return state
 }
 
-// Retain forgets instances that aren't among those present and have nothing under way.
+// Retain drops the state of instances that aren't present and have no read in flight.
 func (p *Picker) Retain(present []feed.Instance) {
-	for id, one := range p.known {
+	for id, state := range p.states {
 		isPresent := slices.ContainsFunc(present, func(instance feed.Instance) bool { return instance.ID == id })
-		if !isPresent && one.inFlight == 0 {
-			delete(p.known, id)
+		if !isPresent && state.inFlight == 0 {
+			delete(p.states, id)
 		}
 	}
 }
--- a/routing/picker_test.go
+++ b/routing/picker_test.go
@@ -21,18 +21,18 @@
 
 func newPicker() *Picker { return NewPicker("a", rand.New(rand.NewPCG(1, 1))) }
 
-func (p *Picker) must(is *is.I, now time.Duration, tried ...string) string {
+func (p *Picker) mustChoose(is *is.I, now time.Duration, tried ...string) string {
 	chosen, found := p.Choose(now, all, tried)
 	is.True(found)
 	return chosen.ID
 }
 
-func TestOwnZoneWhileItIsNoBusier(t *testing.T) {
+func TestOwnZoneIsPreferredUnlessItIsBusier(t *testing.T) {
 	is := is.New(t)
 	p := newPicker()
-	is.Equal(p.must(is, 0), "near")
+	is.Equal(p.mustChoose(is, 0), "near")
 	p.ReadStarted("near")
-	is.True(p.must(is, 0) != "near") // twice as busy
+	is.True(p.mustChoose(is, 0) != "near") // near has twice the load
 	p.ReadEnded(0, "near", Served, 5*ms)
 	for range 40 {
 		p.ReadStarted("near")
@@ -42,11 +42,11 @@
 		p.ReadStarted("third")
 		p.ReadEnded(0, "third", Served, 30*ms)
 	}
-	is.Equal(p.must(is, 0), "far")
-	is.Equal(p.must(is, 0, "far"), "third")
+	is.Equal(p.mustChoose(is, 0), "far")
+	is.Equal(p.mustChoose(is, 0, "far"), "third")
 }
 
-func TestNoneBeyondItsSlots(t *testing.T) {
+func TestNoInstanceIsChosenBeyondItsSlots(t *testing.T) {
 	is := is.New(t)
 	p := newPicker()
 	for range 3 * near.Slots {
@@ -58,44 +58,44 @@
 	is.True(!found)
 }
 
-func TestLeftAloneAfterWhatSpeaksAgainstIt(t *testing.T) {
-	for _, one := range []struct {
-		result      Result
-		first, most time.Duration
-	}{{Busy, busyRest, mostBusyRest}, {Lagging, laggingRest, mostLaggingRest}, {Failed, failedRest, mostFailedRest}} {
+func TestInstanceBacksOffAfterBusyLaggingOrFailed(t *testing.T) {
+	for _, test := range []struct {
+		result            Result
+		shortest, longest time.Duration
+	}{{Busy, busyBackoff, maxBusyBackoff}, {Lagging, laggingBackoff, maxLaggingBackoff}, {Failed, failedBackoff, maxFailedBackoff}} {
 		is := is.New(t)
 		p := newPicker()
 		now := time.Duration(0)
-		only := func(now time.Duration) bool { _, found := p.Choose(now, all, []string{"far", "third"}); return found }
+		isChosen := func(now time.Duration) bool { _, found := p.Choose(now, all, []string{"far", "third"}); return found }
 		p.ReadStarted("near")
-		p.ReadEnded(now, "near", one.result, 0)
-		is.True(!only(now + one.first - ms))
-		is.True(only(now + one.first))
+		p.ReadEnded(now, "near", test.result, 0)
+		is.True(!isChosen(now + test.shortest - ms))
+		is.True(isChosen(now + test.shortest))
 		for range 12 {
-			now += one.most
+			now += test.longest
 			p.ReadStarted("near")
-			p.ReadEnded(now, "near", one.result, 0)
+			p.ReadEnded(now, "near", test.result, 0)
 		}
-		is.True(!only(now + one.most - ms))
-		is.True(only(now + one.most))
-		now += one.most
+		is.True(!isChosen(now + test.longest - ms))
+		is.True(isChosen(now + test.longest))
+		now += test.longest
 		p.ReadStarted("near")
 		p.ReadEnded(now, "near", Served, ms)
 		p.ReadStarted("near")
-		p.ReadEnded(now, "near", one.result, 0)
-		is.True(only(now + one.first)) // it has served meanwhile
+		p.ReadEnded(now, "near", test.result, 0)
+		is.True(isChosen(now + test.shortest)) // back to the shortest: it has served a read meanwhile
 	}
 }
 
-func TestGoneInstancesAreForgotten(t *testing.T) {
+func TestRetainDropsIdleInstancesThatAreGone(t *testing.T) {
 	is := is.New(t)
 	p := newPicker()
 	p.ReadStarted("near")
 	p.ReadStarted("far")
 	p.ReadEnded(0, "far", Failed, 0)
 	p.Retain([]feed.Instance{third})
-	is.Equal(len(p.known), 1) // near still runs something
+	is.Equal(len(p.states), 1) // near still has a read in flight
 	p.ReadEnded(0, "near", Served, ms)
 	p.Retain([]feed.Instance{third})
-	is.Equal(len(p.known), 0)
+	is.Equal(len(p.states), 0)
 }
