--- a/control/configuration/api.go
+++ b/control/configuration/api.go
@@ -1,32 +1,32 @@
 package configuration
 
-// Document is a whole configuration as an operator sent it, read and checked.
+// Document is a complete configuration as an operator sent it, parsed and checked.
 type Document struct {
 	Number   int64  // configRevision
-	Digest   string // of the meaning of the body: equal for bodies that differ in blanks, order of keys or spelling of numbers
+	Digest   string // digest of the meaning of the body: equal for bodies that differ only in white space, order of keys or spelling of values
 	Body     []byte // as it was sent
 	Contents Contents
 }
 
-// Contents of a configuration. Unknown fields are ignored here, and kept in the body and the digest.
+// Contents holds the known fields of a configuration. Unknown fields are ignored here, but kept in the body and the digest.
 type Contents struct {
 	Number   int64     `json:"configRevision" validate:"gte=1"`
 	Routes   []Route   `json:"routeTable" validate:"-"`   // checked one by one, so that an error names the route
 	Services []Service `json:"serviceTable" validate:"-"` // likewise
 	Tenants  []Tenant  `json:"tenantTable" validate:"-"`  // likewise
-	// HasTenants tells an empty table of tenants, under which no key is known, from none, under which nobody needs one.
+	// HasTenants distinguishes an empty table of tenants, with which no key is accepted, from none, with which no key is needed.
 	HasTenants bool   `json:"-"`
 	Limits     Limits `json:"limits"`
 }
 
-// Classes of routes, by what a read of theirs must see.
+// Classes of routes, by what their reads must see.
 const (
-	Primary      = "primary"       // all that was acknowledged before it
-	BoundedStale = "bounded_stale" // all that was acknowledged longer ago than MaxStalenessMs
-	SelfManaged  = "self_managed"  // that, and all that its own session committed
+	Primary      = "primary"       // all commits acknowledged before the read
+	BoundedStale = "bounded_stale" // all commits acknowledged longer ago than MaxStalenessMs
+	SelfManaged  = "self_managed"  // as bounded_stale, and all commits of the read's own session
 )
 
-// Route leads a database name to a service.
+// Route maps a database name to a service.
 type Route struct {
 	Name            string `json:"name" validate:"required"`
 	Host            string `json:"host" validate:"required"`
@@ -50,17 +50,17 @@
 	SyncReplicas   int    `json:"syncReplicas" validate:"gte=0"`
 }
 
-// Tenant is a customer. Its clients are known by their keys.
+// Tenant is a customer. Its clients are identified by their keys.
 type Tenant struct {
 	Name      string   `json:"name" validate:"required"`
-	Keys      []string `json:"apiKeys"` // may be empty: then none of its clients is let in
+	Keys      []string `json:"apiKeys"` // may be empty: then none of its clients is accepted
 	Priority  int      `json:"priority" validate:"gte=0"`
-	Limited   bool     `json:"-"`                          // a rate was given
-	RatePerS  float64  `json:"ratePerS" validate:"gte=0"`  // operations a second, over all gateways
-	BurstSize float64  `json:"burstSize" validate:"gte=0"` // operations beyond the rate that may come at once
+	Limited   bool     `json:"-"`                          // RatePerS was given
+	RatePerS  float64  `json:"ratePerS" validate:"gte=0"`  // operations per second, over all gateways
+	BurstSize float64  `json:"burstSize" validate:"gte=0"` // how many operations beyond the rate may come at once
 }
 
-// Limits of sessions.
+// Limits holds the limits of sessions.
 type Limits struct {
 	MaxHeaderBytes  int64 `json:"maxHeaderBytes" validate:"gte=0"`
 	MaxBodyBytes    int64 `json:"maxBodyBytes" validate:"gte=0"`
--- a/control/configuration/check.go
+++ b/control/configuration/check.go
@@ -9,16 +9,16 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// fieldChecks holds the rules that the tags of Contents, Route, Service and Limits state. It is never changed.
-var fieldChecks = newFieldChecks()
+// fieldValidator checks the rules in the tags of Contents, Route, Service, Tenant and Limits. It is never changed.
+var fieldValidator = newFieldValidator()
 
-func newFieldChecks() *validator.Validate {
-	checks := validator.New(validator.WithRequiredStructEnabled())
-	checks.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("json") })
-	return checks
+func newFieldValidator() *validator.Validate {
+	fields := validator.New(validator.WithRequiredStructEnabled())
+	fields.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("json") })
+	return fields
 }
 
-// check finds the first thing for which contents that could be read can't be put in force.
+// check returns the first reason why parsed contents can't be put in force.
 func check(contents Contents) *Refusal {
 	if refusal := checkFields("", contents); refusal != nil {
 		return refusal
@@ -33,17 +33,17 @@
 	return checkTenants(contents.Tenants)
 }
 
-// names is a set of names.
-type names map[string]struct{}
+// nameSet is a set of names.
+type nameSet map[string]struct{}
 
-func checkServices(services []Service) (names, *Refusal) {
-	known := make(names, len(services))
+func checkServices(services []Service) (nameSet, *Refusal) {
+	known := make(nameSet, len(services))
 	for index, service := range services {
 		where := label("service", service.Name, "serviceTable", index)
 		if refusal := checkFields(where, service); refusal != nil {
 			return nil, refusal
 		}
-		if _, twice := known[service.Name]; twice {
+		if _, isDuplicate := known[service.Name]; isDuplicate {
 			return nil, invalid(where, "has the name of another service")
 		}
 		known[service.Name] = struct{}{}
@@ -51,32 +51,32 @@
 	return known, nil
 }
 
-// place is where requests find a route.
-type place struct{ host, pathPrefix string }
+// routeMatch is what a request must match to use a route.
+type routeMatch struct{ host, pathPrefix string }
 
-func checkRoutes(routes []Route, services names) *Refusal {
-	taken := make(map[place]string, len(routes))
+func checkRoutes(routes []Route, services nameSet) *Refusal {
+	namesByMatch := make(map[routeMatch]string, len(routes))
 	for index, route := range routes {
 		where := label("route", route.Name, "routeTable", index)
 		if refusal := checkFields(where, route); refusal != nil {
 			return refusal
 		}
-		if _, known := services[route.TargetService]; !known {
+		if _, isKnown := services[route.TargetService]; !isKnown {
 			return invalid(where, fmt.Sprintf("targetService %q is not in serviceTable", route.TargetService))
 		}
-		at := place{host: route.Host, pathPrefix: route.PathPrefix}
-		if other, found := taken[at]; found {
-			return invalid(where, fmt.Sprintf("has host %q and pathPrefix %q like route %q", at.host, at.pathPrefix, other))
+		match := routeMatch{host: route.Host, pathPrefix: route.PathPrefix}
+		if other, found := namesByMatch[match]; found {
+			return invalid(where, fmt.Sprintf("has host %q and pathPrefix %q like route %q", match.host, match.pathPrefix, other))
 		}
-		taken[at] = route.Name
+		namesByMatch[match] = route.Name
 	}
 	return nil
 }
 
-// checkTenants looks at each tenant, and that no key leads to two of them. Problems don't quote keys.
+// checkTenants checks each tenant, and that no key belongs to two of them. The problems that it reports don't quote keys.
 func checkTenants(tenants []Tenant) *Refusal {
-	known := make(names, len(tenants))
-	holders := map[string]string{} // by key
+	known := make(nameSet, len(tenants))
+	ownersByKey := map[string]string{} // tenant names
 	for index, tenant := range tenants {
 		where := label("tenant", tenant.Name, tenantTable, index)
 		if refusal := checkFields(where, tenant); refusal != nil {
@@ -85,18 +85,18 @@
 		if strings.ContainsAny(tenant.Name, " \r\n") {
 			return invalid(where, "name must not hold a blank or the end of a line")
 		}
-		if _, twice := known[tenant.Name]; twice {
+		if _, isDuplicate := known[tenant.Name]; isDuplicate {
 			return invalid(where, "has the name of another tenant")
 		}
 		known[tenant.Name] = struct{}{}
-		if refusal := checkKeys(where, tenant, holders); refusal != nil {
+		if refusal := checkKeys(where, tenant, ownersByKey); refusal != nil {
 			return refusal
 		}
 	}
 	return nil
 }
 
-func checkKeys(where string, tenant Tenant, holders map[string]string) *Refusal {
+func checkKeys(where string, tenant Tenant, ownersByKey map[string]string) *Refusal {
 	for _, key := range tenant.Keys {
 		if key == "" {
 			return invalid(where, "has a key that is empty")
@@ -104,14 +104,15 @@
 		if strings.ContainsAny(key, " \r\n") {
 			return invalid(where, "has a key with a blank or the end of a line, which no client can send")
 		}
-		if holder, taken := holders[key]; taken && holder != tenant.Name {
-			return invalid(where, fmt.Sprintf("shares a key with tenant %q", holder))
+		if owner, found := ownersByKey[key]; found && owner != tenant.Name {
+			return invalid(where, fmt.Sprintf("shares a key with tenant %q", owner))
 		}
-		holders[key] = tenant.Name
+		ownersByKey[key] = tenant.Name
 	}
 	return nil
 }
 
+// label names a row of a table in a problem: by its name, or by its index if it has none.
 func label(row, name, table string, index int) string {
 	if name == "" {
 		return fmt.Sprintf("%s[%d]", table, index)
@@ -119,9 +120,9 @@
 	return fmt.Sprintf("%s %q", row, name)
 }
 
-// checkFields applies the rules of the tags.
+// checkFields checks the rules in the tags of a struct.
 func checkFields(where string, part any) *Refusal {
-	err := fieldChecks.Struct(part)
+	err := fieldValidator.Struct(part)
 	if err == nil {
 		return nil
 	}
--- a/control/configuration/digest.go
+++ b/control/configuration/digest.go
@@ -7,31 +7,31 @@
 	"strconv"
 )
 
-// digestForm starts what is hashed. Digests are kept on disk: another form of the same value needs another start.
-const digestForm = "eiderway configuration 1\n"
+// digestPrefix is hashed first. Digests are kept on disk: a change of the encoding needs another prefix.
+const digestPrefix = "eiderway configuration 1\n"
 
-// digestOf is the SHA-256 of the normal form of a value, in hexadecimal.
+// digestOf returns the SHA-256 of the canonical form of a value, in hexadecimal.
 func digestOf(root value) string {
 	hash := sha256.New()
-	out := digestWriter{bufio.NewWriter(hash)}
-	out.text(digestForm)
-	out.value(root)
-	out.Flush() // writing to a hash does not fail
+	writer := digestWriter{bufio.NewWriter(hash)}
+	writer.text(digestPrefix)
+	writer.value(root)
+	writer.Flush() // writing to a hash does not fail
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// digestWriter writes values so that different ones differ: each with its kind, and its length or number of parts.
+// digestWriter writes values so that different values give different bytes: each with its kind, and its length or number of elements.
 type digestWriter struct{ *bufio.Writer }
 
 func (w digestWriter) value(v value) {
 	w.WriteByte(byte(v.kind))
 	switch v.kind {
-	case isList:
+	case kindArray:
 		w.count(len(v.items))
 		for _, item := range v.items {
 			w.value(item)
 		}
-	case isObject:
+	case kindObject:
 		w.count(len(v.members))
 		for _, member := range v.members {
 			w.text(member.key)
--- a/control/configuration/digest_test.go
+++ b/control/configuration/digest_test.go
@@ -11,14 +11,14 @@
 	"eiderway/control/configuration"
 )
 
-// tree is a JSON value that can be written in many ways.
+// tree is a JSON value that can be spelled in many ways.
 type tree struct {
-	text    string // a text, if it is not empty
-	number  int64
-	items   []tree
-	fields  []field // sorted by name
-	isList  bool
-	isTable bool
+	text     string // if not empty, the value is this string
+	number   int64
+	items    []tree
+	fields   []field // sorted by name
+	isArray  bool
+	isObject bool
 }
 
 type field struct {
@@ -37,30 +37,30 @@
 	case 1:
 		return tree{number: rapid.Int64().Draw(t, "number")}
 	case 2:
-		list := tree{isList: true}
+		array := tree{isArray: true}
 		for range rapid.IntRange(0, 3).Draw(t, "items") {
-			list.items = append(list.items, drawTree(t, depth-1))
+			array.items = append(array.items, drawTree(t, depth-1))
 		}
-		return list
+		return array
 	default:
-		table := tree{isTable: true}
+		object := tree{isObject: true}
 		for index := range rapid.IntRange(0, 4).Draw(t, "fields") {
-			table.fields = append(table.fields, field{name: "f" + strconv.Itoa(index), value: drawTree(t, depth-1)})
+			object.fields = append(object.fields, field{name: "f" + strconv.Itoa(index), value: drawTree(t, depth-1)})
 		}
-		return table
+		return object
 	}
 }
 
-// write spells a value in one of its ways.
+// write returns the value as JSON, in a random spelling.
 func (v tree) write(t *rapid.T) string {
 	switch {
-	case v.isList:
+	case v.isArray:
 		parts := make([]string, len(v.items))
 		for index, item := range v.items {
 			parts[index] = item.write(t)
 		}
 		return "[" + join(t, parts) + "]"
-	case v.isTable:
+	case v.isObject:
 		parts := make([]string, len(v.fields))
 		for index, field := range rapid.Permutation(v.fields).Draw(t, "order") {
 			parts[index] = writeText(t, field.name) + blank(t) + ":" + field.value.write(t)
@@ -111,24 +111,24 @@
 	}
 }
 
-func TestDigestDependsOnTheMeaningOnly(t *testing.T) {
+func TestDigestDependsOnlyOnMeaning(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		extra, other := drawTree(t, 3), drawTree(t, 3)
 		first := parseWith(t, extra.write(t))
 		if second := parseWith(t, extra.write(t)); first != second {
-			t.Fatalf("one content has the digests %s and %s", first, second)
+			t.Fatalf("the same content has the digests %s and %s", first, second)
 		}
-		same := fmt.Sprintf("%+v", extra) == fmt.Sprintf("%+v", other)
-		if another := parseWith(t, other.write(t)); (first == another) != same {
-			t.Fatalf("digests %s and %s, contents the same: %t", first, another, same)
+		isSame := fmt.Sprintf("%+v", extra) == fmt.Sprintf("%+v", other)
+		if another := parseWith(t, other.write(t)); (first == another) != isSame {
+			t.Fatalf("digests %s and %s, contents are the same: %t", first, another, isSame)
 		}
 	})
 }
 
 func parseWith(t *rapid.T, extra string) string {
-	order, err := configuration.Parse([]byte(strings.Replace(smallest, `{}`, `{"extra":`+extra+`}`, 1)))
+	document, err := configuration.Parse([]byte(strings.Replace(smallest, `{}`, `{"extra":`+extra+`}`, 1)))
 	if err != nil {
 		t.Fatalf("%s: %v", extra, err)
 	}
-	return order.Digest
+	return document.Digest
 }
--- a/control/configuration/number.go
+++ b/control/configuration/number.go
@@ -5,23 +5,24 @@
 	"strings"
 )
 
-// maxExponentDigits bounds the exponents that are read, so that sums of them fit into an int.
+// maxExponentDigits bounds the exponents that are accepted, so that their sums fit into an int.
 const maxExponentDigits = 9
 
-// maxWholeDigits is how many decimal digits an int64 has at most.
-const maxWholeDigits = 19
+// maxInt64Digits is the largest number of decimal digits of an int64.
+const maxInt64Digits = 19
 
-// normalNumber gives a JSON number in its normal form: a sign if it is negative, the digits without zeros at either
-// end, and the power of ten that they are multiplied by. 1, 1.0 and 10e-1 all give 1e0. No digit is lost.
-func normalNumber(literal string) (string, bool) {
-	mantissa, sign := strings.CutPrefix(literal, "-")
+// canonicalNumber returns the canonical form of a JSON number: a sign if it is negative, the digits without leading and
+// trailing zeros, and the power of ten by which they are multiplied. 1, 1.0 and 10e-1 all give 1e0. No digit is lost. The
+// result is false if the exponent is out of range.
+func canonicalNumber(literal string) (string, bool) {
+	mantissa, isNegative := strings.CutPrefix(literal, "-")
 	exponent := 0
 	if index := strings.IndexAny(mantissa, "eE"); index >= 0 {
-		read, ok := readExponent(mantissa[index+1:])
+		parsed, ok := parseExponent(mantissa[index+1:])
 		if !ok {
 			return "", false
 		}
-		mantissa, exponent = mantissa[:index], read
+		mantissa, exponent = mantissa[:index], parsed
 	}
 	whole, fraction, _ := strings.Cut(mantissa, ".")
 	digits := strings.TrimLeft(whole+fraction, "0")
@@ -31,15 +32,15 @@
 	}
 	trimmed := strings.TrimRight(digits, "0")
 	exponent += len(digits) - len(trimmed)
-	normal := trimmed + "e" + strconv.Itoa(exponent)
-	if sign {
-		normal = "-" + normal
+	canonical := trimmed + "e" + strconv.Itoa(exponent)
+	if isNegative {
+		canonical = "-" + canonical
 	}
-	return normal, true
+	return canonical, true
 }
 
-func readExponent(text string) (int, bool) {
-	unsigned, negative := strings.CutPrefix(text, "-")
+func parseExponent(text string) (int, bool) {
+	unsigned, isNegative := strings.CutPrefix(text, "-")
 	unsigned = strings.TrimLeft(strings.TrimPrefix(unsigned, "+"), "0")
 	if len(unsigned) > maxExponentDigits {
 		return 0, false
@@ -48,17 +49,17 @@
 		return 0, true
 	}
 	exponent, err := strconv.Atoi(unsigned)
-	if negative {
+	if isNegative {
 		exponent = -exponent
 	}
 	return exponent, err == nil
 }
 
-// wholeNumber converts a number in its normal form, if it is whole and fits.
-func wholeNumber(normal string) (int64, bool) {
-	digits, power, _ := strings.Cut(normal, "e")
+// parseInteger converts a number in canonical form; false if it has a fraction or doesn't fit into an int64.
+func parseInteger(canonical string) (int64, bool) {
+	digits, power, _ := strings.Cut(canonical, "e")
 	exponent, err := strconv.Atoi(power)
-	if err != nil || exponent < 0 || exponent > maxWholeDigits {
+	if err != nil || exponent < 0 || exponent > maxInt64Digits {
 		return 0, false
 	}
 	whole, err := strconv.ParseInt(digits+strings.Repeat("0", exponent), 10, 64)
--- a/control/configuration/parse_test.go
+++ b/control/configuration/parse_test.go
@@ -13,7 +13,7 @@
 	"eiderway/control/configuration"
 )
 
-// valid is a configuration with all fields that are known, and an unknown one.
+// valid is a configuration with all known fields, and an unknown one.
 const valid = `{"configRevision":7,
  "routeTable":[
   {"name":"r1","host":"h1","pathPrefix":"/","routeClass":"primary","timeoutMs":1000,"targetLatencyMs":200,"priority":1,"targetService":"s1","maxAttempts":2},
@@ -23,29 +23,29 @@
   {"name":"s2","healthPath":"/health","maxConnections":84,"protocol":"h1","tlsEnabled":false}],
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000,"txnIdleMs":3000}}`
 
-// smallest holds nothing that may be left out.
+// smallest is a configuration without any optional field.
 const smallest = `{"configRevision":1,"limits":{},"serviceTable":[{"name":"s1"}],"routeTable":[
  {"name":"r1","host":"h1","routeClass":"primary","timeoutMs":1000,"targetService":"s1"}]}`
 
 func TestParseReadsAllKnownFields(t *testing.T) {
 	is := is.New(t)
-	order, err := configuration.Parse([]byte(valid))
+	document, err := configuration.Parse([]byte(valid))
 	is.NoErr(err)
-	is.Equal(order.Number, int64(7))
-	is.Equal(string(order.Body), valid)
-	is.Equal(order.Contents.Routes[1], configuration.Route{Name: "r2", Host: "h2", PathPrefix: "/", Class: "bounded_stale",
+	is.Equal(document.Number, int64(7))
+	is.Equal(string(document.Body), valid)
+	is.Equal(document.Contents.Routes[1], configuration.Route{Name: "r2", Host: "h2", PathPrefix: "/", Class: "bounded_stale",
 		TimeoutMs: 2000, TargetLatencyMs: 600, Priority: 2, TargetService: "s2", MaxAttempts: 2, MaxStalenessMs: 1500})
-	is.Equal(order.Contents.Services[0], configuration.Service{Name: "s1", HealthPath: "/health", MaxConnections: 84,
+	is.Equal(document.Contents.Services[0], configuration.Service{Name: "s1", HealthPath: "/health", MaxConnections: 84,
 		Protocol: "h1", SyncReplicas: 1})
-	is.Equal(order.Contents.Limits, configuration.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 262144,
+	is.Equal(document.Contents.Limits, configuration.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 262144,
 		HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000, TxnIdleMs: 3000})
 }
 
-func TestParseTakesWhatMayBeLeftOut(t *testing.T) {
+func TestParseAcceptsOmittedFieldsAndOtherSpellings(t *testing.T) {
 	is := is.New(t)
-	order, err := configuration.Parse([]byte(smallest))
+	document, err := configuration.Parse([]byte(smallest))
 	is.NoErr(err)
-	is.Equal(order.Contents.Routes[0].PathPrefix, "/") // where none is named
+	is.Equal(document.Contents.Routes[0].PathPrefix, "/") // the default
 	for name, change := range map[string][2]string{
 		"unknown field at the top": {`"limits"`, `"weights":[{"Name":1,"name":2}],"limits"`},
 		"unknown field of a route": {`"host"`, `"targets":[],"Host":"x","host"`},
@@ -65,32 +65,32 @@
 }
 
 func TestParseRefuses(t *testing.T) {
-	unreadable, invalid := configuration.Malformed, configuration.Invalid
+	malformed, invalid := configuration.Malformed, configuration.Invalid
 	for _, refused := range []struct {
-		name, old, new string // what is changed in the smallest configuration
+		name, old, new string // the change to the smallest configuration
 		reason         configuration.Reason
 		text           string // part of the error
 	}{
-		{"cut short", `}]}`, `}]`, unreadable, "not one whole JSON value"},
-		{"trailing bytes", `}]}`, `}]}x`, unreadable, "not one whole JSON value"},
-		{"two values", `}]}`, `}]}{}`, unreadable, "not one whole JSON value"},
-		{"not an object", smallest, `[]`, unreadable, "not a JSON object"},
-		{"empty", smallest, ``, unreadable, "not one whole JSON value"},
-		{"not UTF-8", `"r1"`, "\"\xff\"", unreadable, "not UTF-8"},
-		{"half a surrogate pair", `"r1"`, `"\ud83d"`, unreadable, "surrogate"},
-		{"second half alone", `"r1"`, `"\\\ude00"`, unreadable, "surrogate"},
-		{"a field twice", `"limits":{}`, `"limits":{},"limits":{}`, unreadable, `"limits" twice`},
-		{"a field twice by escape", `"name":"r1"`, `"name":"r1","n\u0061me":"r3"`, unreadable, `"name" twice`},
-		{"an unknown field twice", `"limits":{}`, `"limits":{"x":{"y":1,"y":1}}`, unreadable, `"y" twice`},
-		{"too deep", `"limits":{}`, `"limits":{"x":` + strings.Repeat("[", 80) + strings.Repeat("]", 80) + `}`, unreadable, "deeper than"},
-		{"exponent out of range", `1000`, `1e9999999999`, unreadable, "exponent"},
-		{"number as text", `1000`, `"1000"`, unreadable, `route "r1": timeoutMs is not a number`},
-		{"text as number", `"h1"`, `1`, unreadable, `route "r1": host is not a text`},
-		{"fraction", `1000`, `1000.5`, unreadable, `route "r1": timeoutMs is not a whole number`},
-		{"too large a number", `1000`, `9223372036854775808`, unreadable, "64 bits"},
-		{"limits not an object", `"limits":{}`, `"limits":[]`, unreadable, "limits: is not an object"},
-		{"table not an array", `"serviceTable":[{"name":"s1"}]`, `"serviceTable":{}`, unreadable, "serviceTable: is not an array"},
-		{"route not an object", `"routeTable":[`, `"routeTable":[1,`, unreadable, "routeTable[0]: is not an object"},
+		{"cut short", `}]}`, `}]`, malformed, "not one whole JSON value"},
+		{"trailing bytes", `}]}`, `}]}x`, malformed, "not one whole JSON value"},
+		{"two values", `}]}`, `}]}{}`, malformed, "not one whole JSON value"},
+		{"not an object", smallest, `[]`, malformed, "not a JSON object"},
+		{"empty", smallest, ``, malformed, "not one whole JSON value"},
+		{"not UTF-8", `"r1"`, "\"\xff\"", malformed, "not UTF-8"},
+		{"half a surrogate pair", `"r1"`, `"\ud83d"`, malformed, "surrogate"},
+		{"second half alone", `"r1"`, `"\\\ude00"`, malformed, "surrogate"},
+		{"a field twice", `"limits":{}`, `"limits":{},"limits":{}`, malformed, `"limits" twice`},
+		{"a field twice by escape", `"name":"r1"`, `"name":"r1","n\u0061me":"r3"`, malformed, `"name" twice`},
+		{"an unknown field twice", `"limits":{}`, `"limits":{"x":{"y":1,"y":1}}`, malformed, `"y" twice`},
+		{"too deep", `"limits":{}`, `"limits":{"x":` + strings.Repeat("[", 80) + strings.Repeat("]", 80) + `}`, malformed, "deeper than"},
+		{"exponent out of range", `1000`, `1e9999999999`, malformed, "exponent"},
+		{"number as text", `1000`, `"1000"`, malformed, `route "r1": timeoutMs is not a number`},
+		{"text as number", `"h1"`, `1`, malformed, `route "r1": host is not a text`},
+		{"fraction", `1000`, `1000.5`, malformed, `route "r1": timeoutMs is not a whole number`},
+		{"too large a number", `1000`, `9223372036854775808`, malformed, "64 bits"},
+		{"limits not an object", `"limits":{}`, `"limits":[]`, malformed, "limits: is not an object"},
+		{"table not an array", `"serviceTable":[{"name":"s1"}]`, `"serviceTable":{}`, malformed, "serviceTable: is not an array"},
+		{"route not an object", `"routeTable":[`, `"routeTable":[1,`, malformed, "routeTable[0]: is not an object"},
 		{"no limits", `"limits":{},`, ``, invalid, "limits: is missing"},
 		{"no routes", `"routeTable"`, `"RouteTable"`, invalid, "routeTable: is missing"},
 		{"no services", `"serviceTable"`, `"x"`, invalid, "serviceTable: is missing"},
@@ -115,21 +115,21 @@
 			is.True(errors.As(err, &refusal))
 			is.Equal(refusal.Reason, refused.reason)
 			if !strings.Contains(err.Error(), refused.text) {
-				t.Errorf("%q does not say %q", err, refused.text)
+				t.Errorf("error %q lacks %q", err, refused.text)
 			}
 		})
 	}
 }
 
-func TestParseRefusesEachCut(t *testing.T) {
+func TestParseRefusesEveryTruncation(t *testing.T) {
 	for length := range len(valid) {
 		if _, err := configuration.Parse([]byte(valid[:length])); err == nil {
-			t.Fatalf("the first %d bytes were taken", length)
+			t.Fatalf("the first %d bytes were accepted", length)
 		}
 	}
 }
 
-// bodyOf makes a configuration with many routes in an order of its own.
+// bodyOf makes a configuration with many routes, each with a random note.
 func bodyOf(routes int, shuffle *rand.Rand) []byte {
 	rows := make([]string, routes)
 	for index := range rows {
@@ -139,12 +139,12 @@
 	return []byte(`{"configRevision":1,"limits":{},"serviceTable":[{"name":"s1"}],"routeTable":[` + strings.Join(rows, ",") + `]}`)
 }
 
-func TestParseBoundsTheSizeAndNothingElse(t *testing.T) {
+func TestParseBoundsOnlyTheSize(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewSource(1))
-	order, err := configuration.Parse(bodyOf(5000, random))
+	document, err := configuration.Parse(bodyOf(5000, random))
 	is.NoErr(err)
-	is.Equal(len(order.Contents.Routes), 5000)
+	is.Equal(len(document.Contents.Routes), 5000)
 
 	padding := strings.Repeat(" ", configuration.MaxBody-len(smallest))
 	_, err = configuration.Parse([]byte(smallest + padding))
@@ -155,7 +155,7 @@
 	is.Equal(refusal.Reason, configuration.TooLarge)
 }
 
-func TestDigestCountsEachPart(t *testing.T) {
+func TestDigestDependsOnEveryPart(t *testing.T) {
 	is := is.New(t)
 	digests := make(map[string]string)
 	for _, body := range []string{
@@ -169,12 +169,12 @@
 		strings.Replace(smallest, `{}`, `{"x":[[],1]}`, 1),
 		strings.Replace(smallest, `{}`, `{"x":[[1]]}`, 1),
 		strings.Replace(smallest, `{}`, `{"x":9007199254740992}`, 1),
-		strings.Replace(smallest, `{}`, `{"x":9007199254740993}`, 1), // one float64 for both
+		strings.Replace(smallest, `{}`, `{"x":9007199254740993}`, 1), // the same float64 as the number above
 	} {
-		order, err := configuration.Parse([]byte(body))
+		document, err := configuration.Parse([]byte(body))
 		is.NoErr(err)
-		is.Equal(digests[order.Digest], "") // another content has this digest
-		digests[order.Digest] = body
+		is.Equal(digests[document.Digest], "") // no other content has this digest
+		digests[document.Digest] = body
 	}
 }
 
@@ -187,9 +187,9 @@
 	} {
 		digests := make(map[string]bool)
 		for _, number := range spellings {
-			order, err := configuration.Parse([]byte(strings.Replace(smallest, `{}`, `{"x":`+number+`}`, 1)))
+			document, err := configuration.Parse([]byte(strings.Replace(smallest, `{}`, `{"x":`+number+`}`, 1)))
 			is.New(t).NoErr(err)
-			digests[order.Digest] = true
+			digests[document.Digest] = true
 		}
 		if len(digests) != 1 {
 			t.Errorf("%v have %d digests", spellings, len(digests))
@@ -197,12 +197,12 @@
 	}
 }
 
-// The digest is kept on disk: a change of its form would make conflicts of orders that are sent again.
-func TestDigestStaysAsItIs(t *testing.T) {
+// Digests are kept on disk: if the same configuration got another digest, sending it again would be refused as a conflict.
+func TestDigestIsStableAcrossVersions(t *testing.T) {
 	is := is.New(t)
-	order, err := configuration.Parse([]byte(smallest))
+	document, err := configuration.Parse([]byte(smallest))
 	is.NoErr(err)
-	is.Equal(order.Digest, "5b9a9e883dfae1246911c615cf5cb511ad0188136d48cd0d91bbb1bf1f4421de")
+	is.Equal(document.Digest, "5b9a9e883dfae1246911c615cf5cb511ad0188136d48cd0d91bbb1bf1f4421de")
 }
 
 func FuzzParse(f *testing.F) {
@@ -210,21 +210,21 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		order, err := configuration.Parse(body)
+		document, err := configuration.Parse(body)
 		again, errAgain := configuration.Parse(body)
-		if (err == nil) != (errAgain == nil) || order.Digest != again.Digest {
-			t.Fatal("two readings of one body")
+		if (err == nil) != (errAgain == nil) || document.Digest != again.Digest {
+			t.Fatal("parsing the same body twice gives different results")
 		}
 		if err != nil {
 			return
 		}
 		var generic map[string]any
 		if json.Unmarshal(body, &generic) != nil {
-			t.Fatal("a body that is not JSON was taken")
+			t.Fatal("a body that is not JSON was accepted")
 		}
 		compact, _ := json.Marshal(json.RawMessage(body))
-		if same, err := configuration.Parse(compact); err != nil || same.Digest != order.Digest {
-			t.Fatalf("the compact body reads differently: %v", err)
+		if same, err := configuration.Parse(compact); err != nil || same.Digest != document.Digest {
+			t.Fatalf("the compacted body differs in error or digest: %v", err)
 		}
 	})
 }
--- a/control/configuration/reader.go
+++ b/control/configuration/reader.go
@@ -9,138 +9,138 @@
 	"unicode/utf8"
 )
 
-// readValue reads a body that must hold exactly one JSON value with exactly one reading.
-func readValue(body []byte) (value, *Refusal) {
+// parseValue parses a body, which must hold exactly one JSON value that all decoders read alike.
+func parseValue(body []byte) (value, *Refusal) {
 	if len(body) > MaxBody {
 		return value{}, &Refusal{Reason: TooLarge, Problem: fmt.Sprintf("the body is larger than %d bytes", MaxBody)}
 	}
 	if !utf8.Valid(body) {
-		return value{}, unreadable("", "the body is not UTF-8 text")
+		return value{}, malformed("", "the body is not UTF-8 text")
 	}
 	if !json.Valid(body) {
-		return value{}, unreadable("", "the body is not one whole JSON value")
+		return value{}, malformed("", "the body is not one whole JSON value")
 	}
-	reader := &valueReader{rest: string(body)}
-	root := reader.value(0)
-	return root, reader.refusal
+	parser := &valueParser{rest: string(body)}
+	root := parser.value(0)
+	return root, parser.refusal
 }
 
-// valueReader takes a text apart that json.Valid has found to be one JSON value, so it looks for no faults of syntax.
-// Configurations come with thousands of routes to small machines, and the decoder of encoding/json takes several
-// times as long to give out tokens. Texts are parts of the body where they can be.
-type valueReader struct {
+// valueParser parses text that json.Valid has accepted as one JSON value, so it doesn't check the syntax. Configurations
+// with thousands of routes are parsed on small machines, and the token decoder of encoding/json takes several times as
+// long. Strings are substrings of the body where possible.
+type valueParser struct {
 	rest    string
-	refusal *Refusal // the first thing for which the value can't be taken
-	items   []value  // of the lists that are being read, the outer ones first
-	members []member // likewise of objects
+	refusal *Refusal // the first reason why the value can't be accepted
+	items   []value  // stack of the items of the arrays being parsed, the outermost array first
+	members []member // likewise of the members of objects
 
-	inTenants bool // where anything may be a key, also the name of a field: no problem quotes it
+	inTenants bool // in the table of tenants anything may be a secret key, also the name of a field: problems quote nothing of it
 }
 
-func (r *valueReader) refuse(problem string) {
-	if r.refusal == nil {
-		r.refusal = unreadable("", problem)
+func (p *valueParser) refuse(problem string) {
+	if p.refusal == nil {
+		p.refusal = malformed("", problem)
 	}
-	r.rest = "" // ends the reading
+	p.rest = "" // ends the parsing
 }
 
-// next returns the byte after any blanks, without taking it; 0 at the end.
-func (r *valueReader) next() byte {
-	r.rest = strings.TrimLeft(r.rest, " \t\r\n")
-	if r.rest == "" {
+// next skips white space and returns the next byte without consuming it; 0 at the end.
+func (p *valueParser) next() byte {
+	p.rest = strings.TrimLeft(p.rest, " \t\r\n")
+	if p.rest == "" {
 		return 0
 	}
-	return r.rest[0]
+	return p.rest[0]
 }
 
-// take takes a number of bytes.
-func (r *valueReader) take(count int) string {
-	taken := r.rest[:count]
-	r.rest = r.rest[count:]
+// take consumes a number of bytes.
+func (p *valueParser) take(count int) string {
+	taken := p.rest[:count]
+	p.rest = p.rest[count:]
 	return taken
 }
 
-func (r *valueReader) value(depth int) value {
+func (p *valueParser) value(depth int) value {
 	if depth > MaxDepth {
-		r.refuse(fmt.Sprintf("the body is nested deeper than %d levels", MaxDepth))
+		p.refuse(fmt.Sprintf("the body is nested deeper than %d levels", MaxDepth))
 	}
-	switch r.next() {
+	switch p.next() {
 	case 0:
 		return value{}
 	case '{':
-		return r.object(depth)
+		return p.object(depth)
 	case '[':
-		return r.list(depth)
+		return p.array(depth)
 	case '"':
-		return value{kind: isText, text: r.text()}
+		return value{kind: kindString, text: p.text()}
 	case 'n':
-		r.take(len("null"))
-		return value{kind: isNull}
+		p.take(len("null"))
+		return value{kind: kindNull}
 	case 't':
-		return value{kind: isBool, text: r.take(len("true"))}
+		return value{kind: kindBool, text: p.take(len("true"))}
 	case 'f':
-		return value{kind: isBool, text: r.take(len("false"))}
+		return value{kind: kindBool, text: p.take(len("false"))}
 	default:
-		return r.number()
+		return p.number()
 	}
 }
 
-// more takes the bracket or comma before a part of a list or object, and tells whether one follows.
-func (r *valueReader) more(closing byte) bool {
-	if r.next() == 0 {
+// more consumes the bracket or comma before an element of an array or object, and tells whether an element follows.
+func (p *valueParser) more(closing byte) bool {
+	if p.next() == 0 {
 		return false
 	}
-	if r.take(1)[0] == closing {
+	if p.take(1)[0] == closing {
 		return false
 	}
-	if r.next() == closing { // an empty list or object: no comma stands before a closing bracket
-		r.take(1)
+	if p.next() == closing { // an empty array or object: valid JSON has no comma before a closing bracket
+		p.take(1)
 		return false
 	}
 	return true
 }
 
-func (r *valueReader) list(depth int) value {
-	start := len(r.items)
-	for r.more(']') {
-		r.items = append(r.items, r.value(depth+1))
+func (p *valueParser) array(depth int) value {
+	start := len(p.items)
+	for p.more(']') {
+		p.items = append(p.items, p.value(depth+1))
 	}
-	list := value{kind: isList, items: slices.Clone(r.items[start:])}
-	r.items = r.items[:start]
-	return list
+	array := value{kind: kindArray, items: slices.Clone(p.items[start:])}
+	p.items = p.items[:start]
+	return array
 }
 
-func (r *valueReader) object(depth int) value {
-	start := len(r.members)
-	for r.more('}') {
-		r.members = append(r.members, r.member(depth))
+func (p *valueParser) object(depth int) value {
+	start := len(p.members)
+	for p.more('}') {
+		p.members = append(p.members, p.member(depth))
 	}
-	object := value{kind: isObject, members: slices.Clone(r.members[start:])}
-	r.members = r.members[:start]
+	object := value{kind: kindObject, members: slices.Clone(p.members[start:])}
+	p.members = p.members[:start]
 	slices.SortFunc(object.members, func(a, b member) int { return cmp.Compare(a.key, b.key) })
-	if key, twice := keyTwice(object.members); twice && r.inTenants {
-		r.refuse("an object in " + tenantTable + " has a field twice")
-	} else if twice {
-		r.refuse(fmt.Sprintf("an object has the field %q twice", key))
+	if key, found := duplicateKey(object.members); found && p.inTenants {
+		p.refuse("an object in " + tenantTable + " has a field twice")
+	} else if found {
+		p.refuse(fmt.Sprintf("an object has the field %q twice", key))
 	}
 	return object
 }
 
-func (r *valueReader) member(depth int) member {
-	r.next()
-	key := r.text()
-	if r.next() == ':' {
-		r.take(1)
+func (p *valueParser) member(depth int) member {
+	p.next()
+	key := p.text()
+	if p.next() == ':' {
+		p.take(1)
 	}
 	if key == tenantTable {
-		defer func(outer bool) { r.inTenants = outer }(r.inTenants)
-		r.inTenants = true
+		defer func(outer bool) { p.inTenants = outer }(p.inTenants)
+		p.inTenants = true
 	}
-	return member{key: key, value: r.value(depth + 1)}
+	return member{key: key, value: p.value(depth + 1)}
 }
 
-// keyTwice finds a key that stands twice. Readers differ in which of the two they take.
-func keyTwice(sorted []member) (string, bool) {
+// duplicateKey finds a key that occurs twice. Decoders differ in which of the two they use.
+func duplicateKey(sorted []member) (string, bool) {
 	for index := 1; index < len(sorted); index++ {
 		if sorted[index].key == sorted[index-1].key {
 			return sorted[index].key, true
@@ -149,23 +149,23 @@
 	return "", false
 }
 
-func (r *valueReader) text() string {
-	quoted := r.take(quotedLength(r.rest))
+func (p *valueParser) text() string {
+	quoted := p.take(quotedLength(p.rest))
 	if !strings.Contains(quoted, `\`) {
 		return quoted[1 : len(quoted)-1]
 	}
 	if hasLoneSurrogate(quoted) {
-		r.refuse("a text holds half of a surrogate pair")
+		p.refuse("a text holds half of a surrogate pair")
 		return ""
 	}
 	var text string
 	if err := json.Unmarshal([]byte(quoted), &text); err != nil {
-		r.refuse(err.Error())
+		p.refuse(err.Error())
 	}
 	return text
 }
 
-// quotedLength is the length of the quoted text at the start.
+// quotedLength returns the length of the quoted string at the start of rest, with its quotes.
 func quotedLength(rest string) int {
 	length := 1
 	for rest[length] != '"' {
@@ -177,14 +177,14 @@
 	return length + 1
 }
 
-func (r *valueReader) number() value {
-	length := strings.IndexAny(r.rest, ",]} \t\r\n")
+func (p *valueParser) number() value {
+	length := strings.IndexAny(p.rest, ",]} \t\r\n")
 	if length < 0 {
-		length = len(r.rest)
+		length = len(p.rest)
 	}
-	normal, ok := normalNumber(r.take(length))
+	canonical, ok := canonicalNumber(p.take(length))
 	if !ok {
-		r.refuse("the exponent of a number is out of range")
+		p.refuse("the exponent of a number is out of range")
 	}
-	return value{kind: isNumber, text: normal}
+	return value{kind: kindNumber, text: canonical}
 }
--- a/control/configuration/reader_test.go
+++ b/control/configuration/reader_test.go
@@ -9,51 +9,51 @@
 	"testing"
 )
 
-// asDecoded gives a value the form that encoding/json decodes it to, with numbers in their normal form.
+// asDecoded converts a value to the form to which encoding/json decodes it, with numbers in canonical form.
 func asDecoded(v value) any {
 	switch v.kind {
-	case isObject:
+	case kindObject:
 		fields := make(map[string]any)
 		for _, member := range v.members {
 			fields[member.key] = asDecoded(member.value)
 		}
 		return fields
-	case isList:
+	case kindArray:
 		items := make([]any, len(v.items))
 		for index, item := range v.items {
 			items[index] = asDecoded(item)
 		}
 		return items
-	case isNumber:
+	case kindNumber:
 		return json.Number(v.text)
-	case isBool:
+	case kindBool:
 		return v.text == "true"
-	case isText:
+	case kindString:
 		return v.text
 	default:
 		return nil
 	}
 }
 
-// normalised replaces the numbers of a decoded value by their normal form.
-func normalised(decoded any) any {
+// canonical replaces the numbers of a decoded value by their canonical form.
+func canonical(decoded any) any {
 	switch decoded := decoded.(type) {
 	case json.Number:
-		normal, _ := normalNumber(decoded.String())
-		return json.Number(normal)
+		number, _ := canonicalNumber(decoded.String())
+		return json.Number(number)
 	case []any:
 		for index, item := range decoded {
-			decoded[index] = normalised(item)
+			decoded[index] = canonical(item)
 		}
 	case map[string]any:
 		for _, key := range slices.Collect(maps.Keys(decoded)) {
-			decoded[key] = normalised(decoded[key])
+			decoded[key] = canonical(decoded[key])
 		}
 	}
 	return decoded
 }
 
-// FuzzReader holds the reader against encoding/json: what it takes is JSON, and the same value.
+// FuzzReader compares the parser with encoding/json: whatever it accepts is JSON, and gives the same value.
 func FuzzReader(f *testing.F) {
 	for _, seed := range []string{
 		`null`, ` [ ] `, `{}`, `[1 , -0.5e+3,true,false,null]`, `{"a":{"b":[{}, {"c":"d"}]},"e":""}`, `{"a":1,"a":2}`,
@@ -63,21 +63,21 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		read, refusal := readValue(body)
+		parsed, refusal := parseValue(body)
 		var decoded any
 		decoder := json.NewDecoder(strings.NewReader(string(body)))
 		decoder.UseNumber()
 		if err := decoder.Decode(&decoded); err != nil {
 			if refusal == nil {
-				t.Fatalf("taken, though it is not JSON: %v", err)
+				t.Fatalf("accepted, although it is not JSON: %v", err)
 			}
 			return
 		}
 		if refusal != nil {
-			return // TestParseRefuses says for what
+			return // TestParseRefuses checks the reasons
 		}
-		if got, want := asDecoded(read), normalised(decoded); !reflect.DeepEqual(got, want) {
-			t.Fatalf("read %v, decoded %v", got, want)
+		if got, want := asDecoded(parsed), canonical(decoded); !reflect.DeepEqual(got, want) {
+			t.Fatalf("parsed %v, encoding/json decoded %v", got, want)
 		}
 	})
 }
--- a/control/configuration/refusal.go
+++ b/control/configuration/refusal.go
@@ -1,21 +1,21 @@
 package configuration
 
-// Reason tells why a configuration is refused.
+// Reason says why a configuration is refused.
 type Reason int
 
 const (
-	// Malformed: the body is not one JSON object with one reading, or a known field has a value of another type.
+	// Malformed: the body is not one unambiguous JSON object, or a known field has a value of the wrong type.
 	Malformed Reason = iota + 1
-	// Invalid: the body can be read, and its contents can't be put in force.
+	// Invalid: the body can be parsed, but its contents can't be put in force.
 	Invalid
 	// TooLarge: the body is longer than MaxBody.
 	TooLarge
 )
 
-// Refusal is a verdict on a body. It depends on nothing but the bytes.
+// Refusal is the error for a body that isn't accepted. It depends on nothing but the bytes.
 type Refusal struct {
 	Reason  Reason
-	Where   string // the part of the body, such as `route "r1"`; "": the whole
+	Where   string // the part of the body, such as `route "r1"`; "" for the whole body
 	Problem string
 }
 
@@ -26,7 +26,7 @@
 	return r.Where + ": " + r.Problem
 }
 
-func unreadable(where, problem string) *Refusal {
+func malformed(where, problem string) *Refusal {
 	return &Refusal{Reason: Malformed, Where: where, Problem: problem}
 }
 
--- a/control/configuration/surrogate.go
+++ b/control/configuration/surrogate.go
@@ -9,16 +9,16 @@
 // escapeLength is the length of an escape such as \u00e9.
 const escapeLength = 6
 
-// hasLoneSurrogate tells whether a quoted text of valid JSON escapes half of a surrogate pair. Such texts are no Unicode;
-// decoders replace all halves by the same character, so that different bodies would have one digest.
+// hasLoneSurrogate tells whether a quoted string of valid JSON escapes half of a surrogate pair. Such a string is not valid
+// Unicode: decoders replace every half by the same character, so that different bodies would have the same digest.
 func hasLoneSurrogate(quoted string) bool {
 	for index := 0; index < len(quoted); {
 		if quoted[index] != '\\' {
 			index++
 			continue
 		}
-		first, escaped := escapedUnit(quoted[index:])
-		if !escaped {
+		first, isEscape := escapedUnit(quoted[index:])
+		if !isEscape {
 			index += len(`\n`)
 			continue
 		}
@@ -26,8 +26,8 @@
 		if !utf16.IsSurrogate(first) {
 			continue
 		}
-		second, escaped := escapedUnit(quoted[index:])
-		if !escaped || utf16.DecodeRune(first, second) == unicode.ReplacementChar {
+		second, isEscape := escapedUnit(quoted[index:])
+		if !isEscape || utf16.DecodeRune(first, second) == unicode.ReplacementChar {
 			return true
 		}
 		index += escapeLength
@@ -35,7 +35,7 @@
 	return false
 }
 
-// escapedUnit reads the UTF-16 unit of an escape that the text starts with.
+// escapedUnit returns the UTF-16 code unit of the \u escape at the start of the text; false if there is none.
 func escapedUnit(text string) (rune, bool) {
 	if len(text) < escapeLength || text[0] != '\\' || text[1] != 'u' {
 		return 0, false
--- a/control/configuration/tenants_test.go
+++ b/control/configuration/tenants_test.go
@@ -9,31 +9,31 @@
 	"eiderway/control/configuration"
 )
 
-// withTenants is a valid configuration with a table of tenants as given.
+// withTenants returns the valid configuration with the given table of tenants.
 func withTenants(table string) []byte {
 	return []byte(strings.Replace(valid, `"routeTable"`, `"tenantTable":`+table+`,"routeTable"`, 1))
 }
 
 func TestParseReadsTenants(t *testing.T) {
 	is := is.New(t)
-	order, err := configuration.Parse(withTenants(
+	document, err := configuration.Parse(withTenants(
 		`[{"name":"bakers","apiKeys":["flour","yeast","flour"],"priority":1,"ratePerS":2.5,"burstSize":10},{"name":"smiths"}]`))
 	is.NoErr(err)
-	is.True(order.Contents.HasTenants)
-	is.Equal(order.Contents.Tenants, []configuration.Tenant{
+	is.True(document.Contents.HasTenants)
+	is.Equal(document.Contents.Tenants, []configuration.Tenant{
 		{Name: "bakers", Keys: []string{"flour", "yeast", "flour"}, Priority: 1, Limited: true, RatePerS: 2.5, BurstSize: 10},
 		{Name: "smiths"},
 	})
-	order, err = configuration.Parse(withTenants(`[]`))
+	document, err = configuration.Parse(withTenants(`[]`))
 	is.NoErr(err)
-	is.True(order.Contents.HasTenants) // nobody is let in
-	order, err = configuration.Parse([]byte(valid))
+	is.True(document.Contents.HasTenants) // no client is accepted
+	document, err = configuration.Parse([]byte(valid))
 	is.NoErr(err)
-	is.True(!order.Contents.HasTenants)
+	is.True(!document.Contents.HasTenants)
 }
 
-// ROUTE: a table of tenants that can't be read, or kept, must not be taken for one that asks for no keys; a refusal names no key.
-func TestTenantsThatCannotBeKeptAreRefused(t *testing.T) {
+// Rule ROUTE: an invalid table of tenants must not be treated as a missing one, with which no keys are needed. A refusal quotes no key.
+func TestInvalidTenantsAreRefusedWithoutQuotingKeys(t *testing.T) {
 	for name, table := range map[string]string{
 		"null":                 `null`,
 		"an object":            `{"sesame":[]}`,
@@ -61,10 +61,10 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := configuration.Parse(withTenants(table))
 			if err == nil {
-				t.Fatal("it was taken")
+				t.Fatal("it was accepted")
 			}
 			if strings.Contains(err.Error(), "sesame") {
-				t.Errorf("a key is told: %v", err)
+				t.Errorf("the error quotes a key: %v", err)
 			}
 		})
 	}
--- a/control/configuration/value.go
+++ b/control/configuration/value.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// kind of a JSON value.
+// kind is the type of a JSON value. Its byte is part of the digest.
 type kind byte
 
 const (
-	isNull   kind = 'z'
-	isBool   kind = 'b'
-	isNumber kind = 'n'
-	isText   kind = 's'
-	isList   kind = 'l'
-	isObject kind = 'o'
+	kindNull   kind = 'z'
+	kindBool   kind = 'b'
+	kindNumber kind = 'n'
+	kindString kind = 's'
+	kindArray  kind = 'l'
+	kindObject kind = 'o'
 )
 
-// value is a JSON value in its normal form: equal values have equal forms.
+// value is a JSON value in canonical form: equal values have equal forms.
 type value struct {
 	kind    kind
-	text    string   // of a text; of a number, as normalNumber gives it; "true" or "false"
-	items   []value  // of a list
-	members []member // of an object, sorted by key; no key twice
+	text    string   // a string; a number in the form of canonicalNumber; "true" or "false"
+	items   []value  // of an array
+	members []member // of an object, sorted by key, without duplicates
 }
 
 // member is a field of an object.
@@ -31,19 +31,19 @@
 	value value
 }
 
-// field returns the member with this key. One that is null counts as left out.
+// field returns the value of the member with this key. A member that is null counts as omitted.
 func (v value) field(key string) (value, bool) {
 	index, found := slices.BinarySearchFunc(v.members, key, compareKey)
-	if !found || v.members[index].value.kind == isNull {
+	if !found || v.members[index].value.kind == kindNull {
 		return value{}, false
 	}
 	return v.members[index].value, true
 }
 
-// isNullAt tells whether there is a member with this key that is null.
-func (v value) isNullAt(key string) bool {
+// hasNull tells whether there is a member with this key whose value is null.
+func (v value) hasNull(key string) bool {
 	index, found := slices.BinarySearchFunc(v.members, key, compareKey)
-	return found && v.members[index].value.kind == isNull
+	return found && v.members[index].value.kind == kindNull
 }
 
 func compareKey(m member, key string) int { return cmp.Compare(m.key, key) }
