--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -183,7 +183,7 @@
 				r.names(id, s)
 			}
 		}
-		r.split.Members(splitter.ListAll, list)
+		r.split.UpdateMembers(splitter.ListAll, list)
 	}
 }
 
--- a/fleet/router.go
+++ b/fleet/router.go
@@ -68,12 +68,12 @@
 		t.Every = stepsEvery
 	}
 	r.zones = zone.New(t)
-	r.split = splitter.New(splitter.Terms{Seed: seed + int64(me), Me: me, Routers: of, Zone: me % len(zones), Probes: true, ProbeRoles: true, Cancels: true,
-		MaxSubmissions: 8, MaxPause: 1, ConnectIn: connectIn, ColdFrom: 0.2, WarmAfter: 16, Overload: 2.5, Fall: 1.5,
+	r.split = splitter.New(splitter.Terms{Seed: seed + int64(me), Self: me, Routers: of, Zone: me % len(zones), CanProbe: true, ProbeRoles: true, CanCancel: true,
+		MaxSubmissions: 8, MaxPause: 1, ConnectTimeout: connectIn, ColdFrom: 0.2, WarmAfter: 16, Overload: 2.5, OverloadOutage: 1.5,
 		Types: []splitter.TxnType{{Need: splitter.NeedBounded, Bound: bound, SLA: 0.4, Value: 1},
 			{Need: splitter.NeedPrimary, Effect: splitter.Referenced, Window: window, SLA: 1, Value: 6, LateValue: 0.5},
 			{Need: splitter.NeedPrimary, Effect: splitter.OnceOnly, SLA: 1, Value: 6, LateValue: 0.5}}}, r)
-	r.split.Members(splitter.ListAll, f.list())
+	r.split.UpdateMembers(splitter.ListAll, f.list())
 	for id, s := range f.servers {
 		r.names(id, s)
 	}
@@ -97,13 +97,13 @@
 func (r *router) Forget(int)  {}
 func (r *router) Watch()      {}
 func (r *router) Note(string) {}
-func (r *router) Want(g int) {
+func (r *router) RequestPeerProbes(g int) {
 	if r.f.way.Talk {
 		r.peerState.AwaitPrimary(g, r.f.now)
 		r.at(r.f.now, r.act)
 	}
 }
-func (r *router) Count(what splitter.What, why splitter.Cause) {
+func (r *router) Count(what splitter.Counter, why splitter.Cause) {
 	if what == splitter.Held && r.f.counts() {
 		r.f.held++
 	}
@@ -281,21 +281,21 @@
 			r.send(s.To, s.Bytes, func(peer *router) { peer.zones.Take(r.me, s.Bytes, f.now) })
 		}
 		for _, update := range e.Updates {
-			words := make([]splitter.Word, len(update.Nodes))
+			words := make([]splitter.PeerReport, len(update.Nodes))
 			for i, w := range update.Nodes {
-				words[i] = splitter.Word(w)
+				words[i] = splitter.PeerReport(w)
 				words[i].Primary = w.Primary && f.way.Primes
 				if !f.way.Loads {
 					words[i].Load = 0
 				}
 			}
-			r.split.Told(update.Group, update.Until, update.Heard, words)
+			r.split.ApplyPeerReports(update.Group, update.Until, update.Heard, words)
 		}
 		for _, d := range z.Doubts {
 			r.split.Doubt(d.Node, d.Until)
 		}
 		for _, n := range append(e.Probes, z.Looks...) {
-			r.split.Look(n, splitter.ForAll)
+			r.split.ProbeMember(n, splitter.ForAll)
 		}
 		if z.Word != "" {
 			f.word = z.Word
@@ -339,5 +339,5 @@
 		r.peerState.Arrived(group, typ > 0, f.now)
 		r.act()
 	}
-	r.split.Arrive(splitter.Txn{ID: id, Group: group, Type: typ, Until: f.now + 3*t.sla})
+	r.split.Arrive(splitter.Txn{ID: id, Group: group, Type: typ, Deadline: f.now + 3*t.sla})
 }
--- a/fleet/world.go
+++ b/fleet/world.go
@@ -172,7 +172,7 @@
 						r.names(id, s)
 					}
 				}
-				r.split.Members(splitter.ListAll, list)
+				r.split.UpdateMembers(splitter.ListAll, list)
 			})
 		})
 	}
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -174,13 +174,13 @@
 // txn is what the module is told of a held txn that came at this time.
 func (c *core) txn(h *held, at float64) splitter.Txn {
 	x := splitter.Txn{
-		ID:      h.id,
-		Group:   h.st.Group,
-		Type:    c.typeOf(h),
-		Until:   at + h.st.Wait,
-		Session: session(h.st.Key),
-		Wrote:   h.st.Wrote,
-		Again:   h.st.Again,
+		ID:        h.id,
+		Group:     h.st.Group,
+		Type:      c.typeOf(h),
+		Deadline:  at + h.st.Wait,
+		Session:   session(h.st.Key),
+		LastWrite: h.st.Wrote,
+		IsRetry:   h.st.Again,
 	}
 	if h.class != nil {
 		x.Cost = h.class.Cost
@@ -216,7 +216,7 @@
 	if h.job != nil {
 		h.job.moot.Store(true)
 	}
-	c.router.Left(h.id)
+	c.router.ClientGone(h.id)
 	c.release(h)
 }
 
@@ -235,7 +235,7 @@
 		c.zones.landed(n, c.typeOf(h), res)
 	}
 	if h.class != nil {
-		res.As = c.classes.landed(h.class, res, code)
+		res.ProvedType = c.classes.landed(h.class, res, code)
 	}
 	if (res.Outcome == splitter.Committed || res.Outcome == splitter.Answered) && !h.over {
 		c.counters.committed.Add(1)
@@ -295,7 +295,7 @@
 			e.State = "Ready"
 		}
 		m := splitter.Member{Node: id, Name: e.UID, Group: -1, Zone: c.terms.Zone(e.Zone), State: e.state(),
-			Born: e.Boot / 1000}
+			StartedAt: e.Boot / 1000}
 		if e.Group != nil {
 			m.Group = *e.Group
 			c.groups[m.Group] = true
@@ -312,7 +312,7 @@
 		}
 		list = append(list, m)
 	}
-	c.router.Members(kind, list)
+	c.router.UpdateMembers(kind, list)
 	all := slices.DeleteFunc(slices.Clone(c.nodes), func(n *node) bool { return n == nil })
 	c.everyNode.Store(&all)
 }
@@ -370,18 +370,18 @@
 	c.finish(c.txns[txn], pgwire.AppendError(nil, "ERROR", "08007", "rolled back, its effect is not known", ""))
 }
 
-func (c *core) Want(group int) {
+func (c *core) RequestPeerProbes(group int) {
 	if c.peerState != nil {
 		c.peerState.table.AwaitPrimary(group, c.now)
 		c.tell(c.peerState.act)
 	}
 }
 
-func (c *core) Count(what splitter.What, why splitter.Cause) { c.counters.causes[what][why].Add(1) }
+func (c *core) Count(what splitter.Counter, why splitter.Cause) { c.counters.causes[what][why].Add(1) }
 
 func (c *core) Probe(node int, why splitter.Cause, then func(splitter.Report)) {
 	c.counters.probed[why].Add(1)
-	j := &job{sent: c.now, until: c.now + c.terms.Splitter.ConnectIn, why: why}
+	j := &job{sent: c.now, until: c.now + c.terms.Splitter.ConnectTimeout, why: why}
 	n := c.nodes[node]
 	j.done = func(res splitter.Result, _ []byte) {
 		c.tell(func() {
--- a/proxy/counters.go
+++ b/proxy/counters.go
@@ -24,7 +24,7 @@
 	submitted                                    atomic.Int64
 	probed                                       [splitter.CauseCount]atomic.Int64
 	probeOpened                                  [splitter.CauseCount]atomic.Int64 // connections that a probe had to open
-	causes                                       [splitter.WhatCount][splitter.CauseCount]atomic.Int64
+	causes                                       [splitter.CounterCount][splitter.CauseCount]atomic.Int64
 	outcomes                                     [splitter.Answered + 1]atomic.Int64
 	clientsOpened, clientsClosed                 atomic.Int64
 	linksOpened, linksReused, linksClosed        atomic.Int64
@@ -89,7 +89,7 @@
 	k.log.WithFields(probed).Info("probes by cause")
 	opened, _ := byCause(&k.probeOpened)
 	k.log.WithFields(opened).Info("probes by cause that opened a connection")
-	for what, text := range [splitter.WhatCount]string{"probes by cause that let a txn go", "txns held by cause", "txns declined by cause"} {
+	for what, text := range [splitter.CounterCount]string{"probes by cause that let a txn go", "txns held by cause", "txns declined by cause"} {
 		fields, _ := byCause(&k.causes[what])
 		k.log.WithFields(fields).Info(text)
 	}
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -60,7 +60,7 @@
 	for i := range n {
 		cfg := configure(t, d.Addr(), 1024)
 		require.NoError(t, json.Unmarshal(d.List(), &cfg.Known))
-		cfg.terms.Splitter.NodesCheck = true // else a hung replica is never proven fresh, and gets nothing anyway
+		cfg.terms.Splitter.NodesCheckFreshness = true // else a hung replica is never proven fresh, and gets nothing anyway
 		if gossips {
 			own := fmt.Sprintf("gossip:\n  name: r%d\n  listen: %s\n  key: %s\n  seeds: [%s]\n  members:\n%s", i, addrs[i], filepath.Join(dir, fmt.Sprint(i)), addrs[0], members)
 			path := filepath.Join(dir, fmt.Sprintf("%d.yaml", i))
--- a/proxy/lease.go
+++ b/proxy/lease.go
@@ -49,7 +49,7 @@
 	l := &leases{core: c, armed: math.Inf(1), peers: len(c.tier.peers), texts: map[string]string{}, holds: map[string]func(lease.Event){}}
 	t := own.Terms
 	t.Tasks = append([]lease.Task(nil), t.Tasks...)
-	t.Me, t.Seed = cfg.terms.Splitter.Me, int64(cfg.seed)
+	t.Me, t.Seed = cfg.terms.Splitter.Self, int64(cfg.seed)
 	if t.Routers == 0 {
 		t.Routers = l.peers
 	}
--- a/proxy/metrics.go
+++ b/proxy/metrics.go
@@ -34,7 +34,7 @@
 	}
 	for i := range splitter.CauseCount {
 		counter("probes_total", "Probes by cause.", k.probed[i].Load(), "cause", i.String())
-		for what := range splitter.WhatCount {
+		for what := range splitter.CounterCount {
 			counter("causes_total", "Probes that freed a txn, txns held, txns turned away, by cause.", k.causes[what][i].Load(), "what", what.String(),
 				"cause", i.String())
 		}
--- a/proxy/node.go
+++ b/proxy/node.go
@@ -194,7 +194,7 @@
 // open takes a socket from the budget and connects.
 func (l *link) open(j *job) bool {
 	c := l.node.core
-	in := time.Duration(c.terms.Splitter.ConnectIn * float64(time.Second))
+	in := time.Duration(c.terms.Splitter.ConnectTimeout * float64(time.Second))
 	ctx, cancel := context.WithTimeout(l.ctx, min(in, time.Until(c.clock.at(j.until))))
 	defer cancel()
 	select {
--- a/proxy/node_test.go
+++ b/proxy/node_test.go
@@ -59,7 +59,7 @@
 	tasks, life := errgroup.WithContext(life)
 	c := &core{actor: newActor(), clock: newClock(), terms: &terms.Terms{}, counters: &counters{},
 		sockets: make(chan struct{}, 1), life: life, tasks: tasks}
-	c.terms.Splitter.ConnectIn, c.terms.Splitter.IdleClose = patience.Seconds(), patience.Seconds()
+	c.terms.Splitter.ConnectTimeout, c.terms.Splitter.IdleTimeout = patience.Seconds(), patience.Seconds()
 	c.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return &lateRousing{Conn: conn, handed: make(chan struct{}), begun: held.arrived, applied: applied}, err
--- a/proxy/peerstate.go
+++ b/proxy/peerstate.go
@@ -34,7 +34,7 @@
 		return nil
 	}
 	return &peerState{core: c, next: newNextStep(),
-		table: peerstate.New(peerstate.Config{Self: s.Me, Routers: len(c.tier.peers), Seed: int64(cfg.seed), Bound: bound})}
+		table: peerstate.New(peerstate.Config{Self: s.Self, Routers: len(c.tier.peers), Seed: int64(cfg.seed), Bound: bound})}
 }
 
 // act does what the table asks for, and sets its timer.
@@ -48,14 +48,14 @@
 			t.core.tier.send(s.To, s.Bytes)
 		}
 		for _, update := range e.Updates {
-			states := make([]splitter.Word, len(update.Nodes))
+			states := make([]splitter.PeerReport, len(update.Nodes))
 			for i, w := range update.Nodes {
-				states[i] = splitter.Word(w)
+				states[i] = splitter.PeerReport(w)
 			}
-			t.core.router.Told(update.Group, update.Until, update.Heard, states)
+			t.core.router.ApplyPeerReports(update.Group, update.Until, update.Heard, states)
 		}
 		for _, node := range e.Probes {
-			t.core.router.Look(node, splitter.ForAll)
+			t.core.router.ProbeMember(node, splitter.ForAll)
 		}
 	}
 	t.next.arm(t.core, t.table.Next(), t)
--- a/proxy/peerstate_test.go
+++ b/proxy/peerstate_test.go
@@ -40,7 +40,7 @@
 		cfg := configure(t, d.Addr(), 1024)
 		require.NoError(t, json.Unmarshal(d.List(), &cfg.Known))
 		cfg.terms.Peers = talks
-		cfg.terms.Splitter.Me, cfg.terms.Splitter.Routers, cfg.seed = i, tierSize, uint64(i+1)
+		cfg.terms.Splitter.Self, cfg.terms.Splitter.Routers, cfg.seed = i, tierSize, uint64(i+1)
 		cfg.PeerListen, cfg.Peers = peers[i], peers
 		routers = append(routers, startRouter(t, cfg))
 	}
@@ -137,7 +137,7 @@
 		func(c *Config) { c.Peers = []string{addr, "peer"} },
 		func(c *Config) { c.PeersAll = "all" },
 		func(c *Config) { c.PeerListen = "here" },
-		func(c *Config) { c.terms.Splitter.Me = 2 },
+		func(c *Config) { c.terms.Splitter.Self = 2 },
 	} {
 		cfg := fresh()
 		change(cfg)
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -67,7 +67,7 @@
 		st, err := pgwire.ParseStatement(statement("t-1", "claim", 1000))
 		require.NoError(t, err)
 		st.Again = again
-		require.Equal(t, again, c.txn(&held{st: st}, 0).Again)
+		require.Equal(t, again, c.txn(&held{st: st}, 0).IsRetry)
 	}
 }
 
@@ -298,7 +298,7 @@
 	defer filler.Close()
 
 	c, n := bench(t, addr.String(), 8)
-	c.terms.Splitter.ConnectIn = patience.Seconds() // the kernel knocks again after a second
+	c.terms.Splitter.ConnectTimeout = patience.Seconds() // the kernel knocks again after a second
 	j, end := submission(t, c, n, "a1", 60)
 	c.txns = []*held{{job: j}}
 	n.tell(func() { n.start(j) })
--- a/proxy/tier.go
+++ b/proxy/tier.go
@@ -49,7 +49,7 @@
 	if cfg.PeerListen == "" || len(cfg.Peers) < 2 || !cfg.terms.Peers {
 		return nil, nil
 	}
-	t := &tier{core: c, me: s.Me, byAddr: map[netip.AddrPort]int{}, sends: make(chan datagram, mostWords)}
+	t := &tier{core: c, me: s.Self, byAddr: map[netip.AddrPort]int{}, sends: make(chan datagram, mostWords)}
 	for i, text := range cfg.Peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -58,8 +58,8 @@
 		t.peers = append(t.peers, addr)
 		t.byAddr[addr] = i
 	}
-	if s.Me < 0 || s.Me >= len(t.peers) {
-		return nil, fmt.Errorf("peers: there is no number %d among %d", s.Me, len(t.peers))
+	if s.Self < 0 || s.Self >= len(t.peers) {
+		return nil, fmt.Errorf("peers: there is no number %d among %d", s.Self, len(t.peers))
 	}
 	if cfg.PeersAll != "" {
 		all, err := netip.ParseAddrPort(cfg.PeersAll)
--- a/proxy/zone.go
+++ b/proxy/zone.go
@@ -71,7 +71,7 @@
 	}
 	for _, n := range e.Looks {
 		if n < len(z.core.nodes) && z.core.nodes[n] != nil {
-			z.core.router.Look(n, splitter.ForAll)
+			z.core.router.ProbeMember(n, splitter.ForAll)
 		}
 	}
 	if l := z.core.leases; e.Word != "" && l != nil {
--- a/simwire/host.go
+++ b/simwire/host.go
@@ -121,13 +121,13 @@
 
 func (h *host) headers(ev *event) {
 	if t := h.txns[ev.Txn]; t != nil && !t.over {
-		h.router.Started(t.txn)
+		h.router.AnswerStarted(t.txn)
 	}
 }
 
 func (h *host) gone(ev *event) {
 	if t := h.txns[ev.Txn]; t != nil && !t.over {
-		h.router.Left(t.txn)
+		h.router.ClientGone(t.txn)
 		h.finish(t)
 	}
 }
@@ -140,7 +140,7 @@
 func (h *host) members(ev *event) {
 	kind, ok := listKinds[ev.Kind]
 	if !ok {
-		h.router.Members(splitter.ListRefused, nil)
+		h.router.UpdateMembers(splitter.ListRefused, nil)
 		return
 	}
 	lines := h.s.lists[ev.List]
@@ -154,7 +154,7 @@
 			continue
 		}
 		m := splitter.Member{Node: h.node(e.Node), Name: e.Node, Group: -1, Zone: h.terms.Zone(e.Site),
-			State: splitter.Gone, Primary: e.Head == 1, Born: e.Born / 1000}
+			State: splitter.Gone, Primary: e.Head == 1, StartedAt: e.Born / 1000}
 		if there {
 			m.State = state
 		}
@@ -163,7 +163,7 @@
 		}
 		list = append(list, m)
 	}
-	h.router.Members(kind, list)
+	h.router.UpdateMembers(kind, list)
 }
 
 func (h *host) ingress(ev *event) {
@@ -176,14 +176,14 @@
 		h.slots = append(h.slots, t)
 	}
 	h.txns[ev.Txn] = t
-	x := splitter.Txn{ID: t.txn, Group: ev.ClusterNo, Until: ev.ValidUntil / 1000,
-		Session: ev.Sess, Again: ev.Resent}
+	x := splitter.Txn{ID: t.txn, Group: ev.ClusterNo, Deadline: ev.ValidUntil / 1000,
+		Session: ev.Sess, IsRetry: ev.Resent}
 	x.Type = h.terms.Unnamed
 	if k, ok := h.terms.Types[ev.Class]; ok {
 		x.Type = k
 	}
 	if ev.TokenMs != nil && *ev.TokenMs > 0 {
-		x.Wrote = h.s.now - *ev.TokenMs/1000
+		x.LastWrite = h.s.now - *ev.TokenMs/1000
 	}
 	h.router.Arrive(x)
 }
@@ -285,9 +285,9 @@
 	h.finish(t)
 }
 
-func (h *host) Want(int) {}
+func (h *host) RequestPeerProbes(int) {}
 
-func (h *host) Count(splitter.What, splitter.Cause) {}
+func (h *host) Count(splitter.Counter, splitter.Cause) {}
 
 func (h *host) Probe(node int, _ splitter.Cause, then func(splitter.Report)) {
 	h.probes[node] = append(h.probes[node], then)
--- a/splitter/api.go
+++ b/splitter/api.go
@@ -45,37 +45,37 @@
 
 // Terms are what a router is told at start.
 type Terms struct {
-	Seed           int64
-	Me, Routers    int
-	Zone           int
-	Types          []TxnType
-	NodesCheck     bool // nodes turn away a read they are too far behind for
-	SessionsKept   bool // the router itself remembers what a session wrote
-	ProbeRoles     bool // probes are allowed and tell role and position
-	Probes         bool
-	Cancels        bool
-	AskList        bool    // the member list comes only when watched
-	OnlyDrainBinds bool    // a node gone without a drain may still be used
-	ConnectIn      float64 // a connection not there by then is not had
-	IdleClose      float64 // a connection not in use for this long is closed
-	MaxSubmissions int     // a txn
-	MaxPause       float64 // the longest pause a client heeds; 0: none
-	ColdFrom       float64 // share of its capacity a node starts with
-	WarmAfter      float64
-	Overload       float64 // a cold node falls when sent this multiple of what it can do
-	Fall           float64 // for this long
+	Seed                int64
+	Self, Routers       int
+	Zone                int
+	Types               []TxnType
+	NodesCheckFreshness bool // nodes turn away a read they are too far behind for
+	TrackSessions       bool // the router itself remembers what a session wrote
+	ProbeRoles          bool // probes are allowed and tell role and position
+	CanProbe            bool
+	CanCancel           bool
+	WatchList           bool    // the member list comes only when watched
+	OnlyDrainExcludes   bool    // a node gone without a drain may still be used
+	ConnectTimeout      float64 // a connection not there by then is not had
+	IdleTimeout         float64 // a connection not in use for this long is closed
+	MaxSubmissions      int     // a txn
+	MaxPause            float64 // the longest pause a client heeds; 0: none
+	ColdFrom            float64 // share of its capacity a node starts with
+	WarmAfter           float64
+	Overload            float64 // a cold node falls when sent this multiple of what it can do
+	OverloadOutage      float64 // for this long
 }
 
 // Txn is one txn as it arrives.
 type Txn struct {
-	ID      int
-	Group   int
-	Type    int
-	Until   float64 // expiry: when the client gives up
-	Session int64
-	Again   bool    // the client says that it tries it again
-	Wrote   float64 // when the session last wrote, where the client brings that; 0: never
-	Cost    float64 // s a submission of it usually takes, where that is known better than by its type; 0: it is not
+	ID        int
+	Group     int
+	Type      int
+	Deadline  float64 // expiry: when the client gives up
+	Session   int64
+	IsRetry   bool    // the client says that it tries it again
+	LastWrite float64 // when the session last wrote, where the client brings that; 0: never
+	Cost      float64 // s a submission of it usually takes, where that is known better than by its type; 0: it is not
 }
 
 // Role is what a node says it is.
@@ -106,10 +106,10 @@
 
 // Result is what became of a submission.
 type Result struct {
-	Outcome Outcome
-	Latency float64
-	Ended   bool // the txn has its final answer
-	As      int  // one more than the txn type that it proved to be; 0: the one it came as
+	Outcome    Outcome
+	Latency    float64
+	Ended      bool // the txn has its final answer
+	ProvedType int  // one more than the txn type that it proved to be; 0: the one it came as
 	Report
 }
 
@@ -134,13 +134,13 @@
 
 // Member is an entry of the member list.
 type Member struct {
-	Node    int
-	Name    string // the same at every router
-	Group   int
-	Zone    int
-	State   State
-	Primary bool    // the list's idea of its role: late, or never updated
-	Born    float64 // when it last started; 0: long ago
+	Node      int
+	Name      string // the same at every router
+	Group     int
+	Zone      int
+	State     State
+	Primary   bool    // the list's idea of its role: late, or never updated
+	StartedAt float64 // when it last started; 0: long ago
 }
 
 // ListKind says what a member list holds.
@@ -154,22 +154,22 @@
 	ListMoved // it is to be had elsewhere from now on; a watch that stands goes on there
 )
 
-// Word is what a node has told to a peer: its position, and whether it was primary at that time.
-type Word struct {
+// PeerReport is what a node has told to a peer: its position, and whether it was primary at that time.
+type PeerReport struct {
 	Node    int
 	Pos     float64
 	Primary bool
 	Load    int // submissions of all routers that are out there
 }
 
-// What is counted, each with its Cause.
-type What int
+// Counter is counted, each with its Cause.
+type Counter int
 
 const (
-	Freed     What = iota // probes whose answer let a txn go that could not have gone before it
-	Held                  // txns that could not go when they arrived
-	Turned                // txns that were declined
-	WhatCount             // how many there are
+	Freed        Counter = iota // probes whose answer let a txn go that could not have gone before it
+	Held                        // txns that could not go when they arrived
+	Declined                    // txns that were declined
+	CounterCount                // how many there are
 )
 
 // Cause says why a node is probed, or why a txn waits or was declined.
@@ -193,7 +193,7 @@
 	CauseCount              // how many there are
 )
 
-func (w What) String() string { return [WhatCount]string{"freed", "held", "turned"}[w] }
+func (w Counter) String() string { return [CounterCount]string{"freed", "held", "turned"}[w] }
 
 func (c Cause) String() string {
 	return [CauseCount]string{"first_look", "ordinary", "window", "held_txn", "read_asks", "set_aside", "conn_lost",
@@ -208,8 +208,8 @@
 	Decline(txn int, pause float64)
 	RollBack(txn int)
 	Probe(node int, why Cause, then func(Report))
-	Count(what What, why Cause)
-	Want(group int) // a txn waits for its primary to show, and peers are said to look at it
+	Count(what Counter, why Cause)
+	RequestPeerProbes(group int) // a txn waits for its primary to show, and peers are said to look at it
 	After(at float64, then func())
 	CloseIdle(node int) // connections to it that are not in use
 	Forget(node int)    // nothing is asked of it any more, its index may stand for another
--- a/splitter/dispatch.go
+++ b/splitter/dispatch.go
@@ -59,7 +59,7 @@
 func (r *Router) shed(t *txn) bool {
 	s := t.group.shares[t.Need == NeedPrimary]
 	f := math.Exp((s.at - r.host.Now()) / shareSpan)
-	if t.Again && s.asked*f > shareFree && t.LateValue < lateLeast && s.got < crowdShare*s.sent {
+	if t.IsRetry && s.asked*f > shareFree && t.LateValue < lateLeast && s.got < crowdShare*s.sent {
 		return true // its first try has most likely used up its time
 	}
 	over := r.rng.Float64()*(s.asked*f+1) < (s.asked-shareLeast*s.got)*f-shareFree
@@ -69,7 +69,7 @@
 
 // last is when a txn is given up if it still waits: when its answer could not earn anything any more.
 func (r *Router) last(t *txn) float64 {
-	end := t.Until - 2*tick
+	end := t.Deadline - 2*tick
 	if r.onlyInTime(t) {
 		end = min(end, t.arrived+t.SLA)
 	}
@@ -91,12 +91,12 @@
 func (r *Router) tooLate(t *txn) bool {
 	left := r.last(t) - r.host.Now()
 	return left <= t.quick || t.cause == NoRoom && left <= t.work || t.tries == 0 && t.Need == NeedPrimary &&
-		r.host.Now() >= t.arrived+heldShare*(t.Until-t.arrived)-2*tick
+		r.host.Now() >= t.arrived+heldShare*(t.Deadline-t.arrived)-2*tick
 }
 
 func (r *Router) submit(t *txn, n *node) {
 	now := r.host.Now()
-	until := t.Until
+	until := t.Deadline
 	if r.onlyInTime(t) {
 		until = min(until, t.arrived+t.SLA)
 	}
@@ -125,9 +125,9 @@
 	if n.limit < 1 {
 		n.notBefore = now + (1/n.limit-1)*res.Latency // a limit under one is a share of the time
 	}
-	if res.As > 0 {
+	if res.ProvedType > 0 {
 		// A read that a replica turned away as a write is one. Against statements that hide their writes.
-		t.Type, t.kind = res.As-1, r.kinds[res.As-1]
+		t.Type, t.kind = res.ProvedType-1, r.kinds[res.ProvedType-1]
 	}
 	if !res.is(TimedOut, Broken, NoConn, Cancelled) { // these end a connection
 		n.idle = append(n.idle, now)
@@ -191,12 +191,12 @@
 	if t.tries > 0 {
 		t.cause = Tried
 	}
-	r.host.Count(Turned, t.cause)
+	r.host.Count(Declined, t.cause)
 	r.host.Decline(t.ID, pause)
 }
 
 func (r *Router) cancel(t *txn) {
-	if r.terms.Cancels && t.sentTo != nil && !t.cancelled {
+	if r.terms.CanCancel && t.sentTo != nil && !t.cancelled {
 		t.cancelled = true
 		r.host.Cancel(t.ID)
 	}
--- a/splitter/probe.go
+++ b/splitter/probe.go
@@ -6,14 +6,14 @@
 // for come at once; all else is paid for by txns, so that quiet routers don't spend more than a group earns.
 func (r *Router) probes(g *group) {
 	now := r.host.Now()
-	if !r.terms.Probes {
+	if !r.terms.CanProbe {
 		return
 	}
 	waiting := r.waitingForRole(g)
 	held, told := g.held && waiting > 0 && now >= r.probesFailUntil, now < g.toldUntil
 	due := len(g.members)
 	if held && told {
-		r.host.Want(g.id)
+		r.host.RequestPeerProbes(g.id)
 	}
 	first := told || g.primary == nil && g.named != nil && g.named.bad == 0 // who peers say is primary
 	for i := range g.members {
@@ -79,7 +79,7 @@
 		n.good, n.missed = 0, sent
 		n.bad++
 		g.failedProbes++
-		if !n.known && r.terms.NodesCheck {
+		if !n.known && r.terms.NodesCheckFreshness {
 			n.known, n.lag = true, 0 // it was looked at in vain, and checks reads itself
 		}
 		if n.bad >= badProbes && now >= r.probesFailUntil && g.failedProbes <= (frozenRounds-1)*len(g.members) {
--- a/splitter/record.go
+++ b/splitter/record.go
@@ -72,7 +72,7 @@
 			n.lag = max(n.lag, min(now-r.neededPos(t), sessionSpan)) // so far behind at least
 		}
 	case NoConn, Broken:
-		refused := res.Outcome == NoConn && res.Latency < r.terms.ConnectIn/2
+		refused := res.Outcome == NoConn && res.Latency < r.terms.ConnectTimeout/2
 		if refused && now < n.full {
 			r.freeConnections(n)
 			break
@@ -83,7 +83,7 @@
 			r.setAside(n)
 		}
 		n.down = n.down || refused && now < r.probesFailUntil
-		if refused && r.terms.Probes && !n.probing {
+		if refused && r.terms.CanProbe && !n.probing {
 			n.refused = now
 			r.probe(n, ConnLost)
 		}
@@ -110,7 +110,7 @@
 // rememberCommit keeps a session's commit for its reads to come.
 func (r *Router) rememberCommit(t *txn, pos float64) {
 	now, g := r.host.Now(), t.group
-	if !r.terms.SessionsKept {
+	if !r.terms.TrackSessions {
 		return
 	}
 	if g.wrote == nil || now-g.turned > sessionSpan {
--- a/splitter/scenario_test.go
+++ b/splitter/scenario_test.go
@@ -58,9 +58,9 @@
 func (w *world) Note(string)                   {}
 func (w *world) do(f string, args ...any)      { w.did = append(w.did, fmt.Sprintf(f, args...)) }
 
-func (w *world) Want(int) { w.do("want") }
+func (w *world) RequestPeerProbes(int) { w.do("want") }
 
-func (w *world) Count(what What, why Cause) { w.do("count %s %s", what, why) }
+func (w *world) Count(what Counter, why Cause) { w.do("count %s %s", what, why) }
 
 func (w *world) Probe(node int, why Cause, then func(Report)) {
 	name := w.names[node]
@@ -152,23 +152,23 @@
 func (w *world) play(f []string) {
 	switch f[0] {
 	case "router":
-		t := Terms{Seed: 1, Routers: 1, Types: types, Probes: true, ProbeRoles: true, Cancels: true,
-			MaxSubmissions: 8, MaxPause: 1, ColdFrom: 0.2, WarmAfter: 16, Overload: 3, Fall: 2, ConnectIn: 0.25, IdleClose: 15}
+		t := Terms{Seed: 1, Routers: 1, Types: types, CanProbe: true, ProbeRoles: true, CanCancel: true,
+			MaxSubmissions: 8, MaxPause: 1, ColdFrom: 0.2, WarmAfter: 16, Overload: 3, OverloadOutage: 2, ConnectTimeout: 0.25, IdleTimeout: 15}
 		for _, o := range f[1:] {
 			name, n, _ := strings.Cut(o, "=")
 			switch name {
 			case "check":
-				t.NodesCheck = true
+				t.NodesCheckFreshness = true
 			case "ask":
-				t.AskList = true
+				t.WatchList = true
 			case "noprobes":
-				t.Probes, t.ProbeRoles = false, false
+				t.CanProbe, t.ProbeRoles = false, false
 			case "drainonly":
-				t.OnlyDrainBinds = true
+				t.OnlyDrainExcludes = true
 			case "kept":
-				t.SessionsKept = true
+				t.TrackSessions = true
 			case "me":
-				t.Me = int(w.number(n))
+				t.Self = int(w.number(n))
 			case "of":
 				t.Routers = int(w.number(n))
 			default:
@@ -187,13 +187,13 @@
 			}
 			e := Member{Node: i, Name: name, State: map[string]State{"draining": Draining, "gone": Gone}[state]}
 			if state == "cold" {
-				e.Born = w.now
+				e.StartedAt = w.now
 			}
 			list = append(list, e)
 		}
-		w.router.Members(map[string]ListKind{"list": ListAll, "news": ListChanges}[f[0]], list)
+		w.router.UpdateMembers(map[string]ListKind{"list": ListAll, "news": ListChanges}[f[0]], list)
 	case "refused", "moved":
-		w.router.Members(map[string]ListKind{"refused": ListRefused, "moved": ListMoved}[f[0]], nil)
+		w.router.UpdateMembers(map[string]ListKind{"refused": ListRefused, "moved": ListMoved}[f[0]], nil)
 	case "node":
 		w.roles[f[1]] = f[2:]
 		if f[2] == "silent" {
@@ -202,9 +202,9 @@
 	case "txn", "again":
 		typ := slices.Index(typeNames, f[2])
 		require.GreaterOrEqual(w.t, typ, 0, w.where)
-		x := Txn{ID: int(w.number(f[1])), Type: typ, Until: w.now + 10, Session: 7, Again: f[0] == "again"}
+		x := Txn{ID: int(w.number(f[1])), Type: typ, Deadline: w.now + 10, Session: 7, IsRetry: f[0] == "again"}
 		if len(f) > 3 {
-			x.Until = w.now + w.number(f[3])
+			x.Deadline = w.now + w.number(f[3])
 		}
 		if len(f) > 4 {
 			x.Cost = w.number(f[4])
@@ -224,19 +224,19 @@
 			require.Positive(w.t, as, w.where)
 			f = f[1:]
 		}
-		then(Result{Outcome: outcome, Latency: w.now - w.sent[id], Ended: w.over[id], As: as, Report: w.report(f)})
+		then(Result{Outcome: outcome, Latency: w.now - w.sent[id], Ended: w.over[id], ProvedType: as, Report: w.report(f)})
 	case "doubt":
 		w.router.Doubt(slices.Index(w.names, f[1]), w.now+w.number(f[2]))
 	case "told": // until, then words
-		var words []Word
+		var words []PeerReport
 		for i := 2; i < len(f); i += 2 {
 			name, primary := strings.CutPrefix(f[i], "primary:")
 			name, load, _ := strings.Cut(name, "=")
-			words = append(words, Word{Node: slices.Index(w.names, name), Pos: w.now - w.number(f[i+1]), Primary: primary, Load: len(load)})
+			words = append(words, PeerReport{Node: slices.Index(w.names, name), Pos: w.now - w.number(f[i+1]), Primary: primary, Load: len(load)})
 		}
-		w.router.Told(0, w.now+w.number(f[1]), len(words) > 0, words)
+		w.router.ApplyPeerReports(0, w.now+w.number(f[1]), len(words) > 0, words)
 	case "look":
-		w.router.Look(slices.Index(w.names, f[1]), ForAll)
+		w.router.ProbeMember(slices.Index(w.names, f[1]), ForAll)
 	case "cut":
 		require.InDelta(w.t, w.number(f[2]), w.cut[int(w.number(f[1]))], 0.01, w.where)
 	case "wait":
--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -1,7 +1,7 @@
 // Package splitter decides where each txn of a replicated database cluster goes: all of eiderway's routing.
 //
-// How to call it: New makes a router; hand it each member list (Members), each txn (Arrive) and each client
-// that left (Left). It acts through the Host given to New and learns through the closures it hands to that
+// How to call it: New makes a router; hand it each member list (UpdateMembers), each txn (Arrive) and each
+// client that left (ClientGone). It acts through the Host given to New and learns through the closures it hands to that
 // Host. The interface is in api.go; docs/design.md says what comes from the source and what is ours.
 package splitter
 
@@ -44,14 +44,14 @@
 	}
 	value := func(i int) float64 { return r.kinds[i].Value / r.kinds[i].SLA }
 	slices.SortStableFunc(r.ranked, func(a, b int) int { return cmp.Compare(value(b), value(a)) })
-	if terms.AskList {
+	if terms.WatchList {
 		host.Watch()
 	}
 	return r
 }
 
-// Members takes a member list, or news of one.
-func (r *Router) Members(kind ListKind, list []Member) {
+// UpdateMembers takes a member list, or news of one.
+func (r *Router) UpdateMembers(kind ListKind, list []Member) {
 	now := r.host.Now()
 	if kind == ListRefused {
 		// It does not say whether a watch stands, and the list serves all: asked again, later and later.
@@ -62,7 +62,7 @@
 	if kind != ListRemembered {
 		r.refusals = 0
 	}
-	if kind == ListMoved && r.terms.AskList {
+	if kind == ListMoved && r.terms.WatchList {
 		r.host.Watch()
 	}
 	listed := map[int]bool{}
@@ -81,9 +81,9 @@
 			r.nodes[m.Node] = n
 			n.group.members = append(n.group.members, n)
 		}
-		n.drained = n.drained && m.Born <= n.Born
-		if m.Born > 0 && m.Born > n.started {
-			n.started, n.limit = m.Born, min(n.limit, limitStart)
+		n.drained = n.drained && m.StartedAt <= n.StartedAt
+		if m.StartedAt > 0 && m.StartedAt > n.started {
+			n.started, n.limit = m.StartedAt, min(n.limit, limitStart)
 		}
 		n.Member = m
 		r.setState(n, m.State)
@@ -119,7 +119,7 @@
 		n.goneSince = 0
 	}
 	n.drained = n.drained || s == Draining
-	n.closed = n.drained || s == Gone && !r.terms.OnlyDrainBinds
+	n.closed = n.drained || s == Gone && !r.terms.OnlyDrainExcludes
 	if n.closed {
 		r.holdWrites(n)
 	}
@@ -156,7 +156,7 @@
 func (r *Router) Arrive(x Txn) {
 	now := r.clock()
 	g := r.group(x.Group)
-	_, turn := math.Modf(golden * float64(r.terms.Me+r.count))
+	_, turn := math.Modf(golden * float64(r.terms.Self+r.count))
 	r.count++
 	t := &txn{Txn: x, kind: r.kinds[x.Type], group: g, arrived: now, turn: turn, cause: Behind}
 	if x.Cost > 0 {
@@ -181,7 +181,7 @@
 	if n, now := r.nodes[node], r.clock(); n != nil {
 		if now >= n.doubted && now < until {
 			n.since = now
-			r.Look(node, PeersDoubt)
+			r.ProbeMember(node, PeersDoubt)
 		}
 		if n.doubted = until; until <= now { // what failed then says little of now
 			for _, m := range n.group.members {
@@ -194,17 +194,17 @@
 	}
 }
 
-// Look probes a node that peers doubt, or want to know of.
-func (r *Router) Look(node int, why Cause) {
-	if n := r.nodes[node]; n != nil && r.terms.Probes && !n.probing && !n.closed {
+// ProbeMember probes a node that peers doubt, or want to know of.
+func (r *Router) ProbeMember(node int, why Cause) {
+	if n := r.nodes[node]; n != nil && r.terms.CanProbe && !n.probing && !n.closed {
 		r.probe(n, why)
 	}
 }
 
-// Told takes what peers say of a group that they look at for all until a time; heard: they do speak. A
+// ApplyPeerReports takes what peers say of a group that they look at for all until a time; heard: they do speak. A
 // position proves from its date on; a role is a hint whom to ask: only a member's own word moves the primary.
 // It covers routers too quiet to know, and harms where peers say old things: reads wait one word too long.
-func (r *Router) Told(group int, until float64, heard bool, words []Word) {
+func (r *Router) ApplyPeerReports(group int, until float64, heard bool, words []PeerReport) {
 	g, now := r.group(group), r.clock()
 	if g.toldUntil = max(g.toldUntil, until); heard {
 		g.toldAt = now
@@ -221,16 +221,16 @@
 	r.dispatch(g)
 }
 
-// Left says that the client of a txn is gone. Nothing is owed or sent for it any more.
-func (r *Router) Left(id int) {
+// ClientGone says that the client of a txn is gone. Nothing is owed or sent for it any more.
+func (r *Router) ClientGone(id int) {
 	if t := r.txns[id]; t != nil {
 		r.end(t)
 		r.cancel(t)
 	}
 }
 
-// Started says that a txn's answer flows to the client, whose matter it is from here on.
-func (r *Router) Started(id int) {
+// AnswerStarted says that a txn's answer flows to the client, whose matter it is from here on.
+func (r *Router) AnswerStarted(id int) {
 	if t := r.txns[id]; t != nil {
 		t.started = true
 	}
@@ -262,7 +262,7 @@
 			first = first || n.probing && r.host.Now()-n.probed < firstWait
 		}
 	}
-	asks := t.Need != NeedCurrent && !r.terms.NodesCheck && r.terms.ProbeRoles
+	asks := t.Need != NeedCurrent && !r.terms.NodesCheckFreshness && r.terms.ProbeRoles
 	proven := false
 	if r.lastsLong(t) && len(usable) > 0 {
 		// Gathered: all routers fill half of the replicas in the same order. A single replica is spared, the
@@ -374,7 +374,7 @@
 // a wrong one costs a miss; where they don't, only a position proves it, which holds for ever.
 func (r *Router) freshEnough(n *node, t *txn) bool {
 	now, need := r.host.Now(), r.neededPos(t)
-	guess := r.terms.NodesCheck && (!t.group.held || n.pos == 0)
+	guess := r.terms.NodesCheckFreshness && (!t.group.held || n.pos == 0)
 	return n.pos >= need || guess && now-n.lag > need+spare*(now-need)
 }
 
@@ -384,7 +384,7 @@
 	case NeedBounded:
 		return r.host.Now() - t.Bound + margin
 	case NeedSession:
-		return max(t.Wrote, t.group.forgot, t.group.wrote[t.Session], t.group.before[t.Session])
+		return max(t.LastWrite, t.group.forgot, t.group.wrote[t.Session], t.group.before[t.Session])
 	case NeedCurrent:
 		return t.arrived
 	}
@@ -411,7 +411,7 @@
 	for _, other := range n.inFlight {
 		out += other.work
 	}
-	if out*routers <= (r.terms.Overload-1)*r.terms.Fall*coldCores*share {
+	if out*routers <= (r.terms.Overload-1)*r.terms.OverloadOutage*coldCores*share {
 		return true
 	}
 	if t.Need == NeedPrimary && !t.group.held {
@@ -447,7 +447,7 @@
 // hasOpenConnection tells whether a connection to a node is thought to be open and not in use.
 func (n *node) hasOpenConnection(r *Router) bool {
 	k := len(n.idle)
-	return k > 0 && r.host.Now() < n.idle[k-1]+r.terms.IdleClose
+	return k > 0 && r.host.Now() < n.idle[k-1]+r.terms.IdleTimeout
 }
 
 func (r *Router) tick() {
--- a/terms/terms.go
+++ b/terms/terms.go
@@ -106,14 +106,14 @@
 	for _, z := range f.Zones {
 		d.Zone(z)
 	}
-	t := splitter.Terms{Seed: seed, Me: f.Me, Routers: f.Balancers, Zone: d.Zone(f.MyZone),
-		NodesCheck:   f.Extra.WhenBehind == "bounce" || f.Extra.WhenBehind == "await",
-		SessionsKept: f.Extra.SessionMarks == "kept", Probes: f.Limits.Probes, Cancels: f.Limits.MayCancel,
-		ConnectIn: f.Limits.ConnectTimeout / 1000, IdleClose: f.Limits.IdleClose / 1000,
-		AskList: f.MembershipMode == "subscribe", OnlyDrainBinds: f.Invariants.DrainBindsAlone,
+	t := splitter.Terms{Seed: seed, Self: f.Me, Routers: f.Balancers, Zone: d.Zone(f.MyZone),
+		NodesCheckFreshness: f.Extra.WhenBehind == "bounce" || f.Extra.WhenBehind == "await",
+		TrackSessions:       f.Extra.SessionMarks == "kept", CanProbe: f.Limits.Probes, CanCancel: f.Limits.MayCancel,
+		ConnectTimeout: f.Limits.ConnectTimeout / 1000, IdleTimeout: f.Limits.IdleClose / 1000,
+		WatchList: f.MembershipMode == "subscribe", OnlyDrainExcludes: f.Invariants.DrainBindsAlone,
 		MaxSubmissions: f.Limits.SendCap, ColdFrom: f.Invariants.ColdFrom, WarmAfter: f.Invariants.WarmAfter / 1000,
-		Overload: f.Invariants.OverloadFactor, Fall: f.Invariants.Fall / 1000}
-	t.ProbeRoles = t.Probes && d.Reports && slices.Contains(f.Telemetry.Names, "x1")
+		Overload: f.Invariants.OverloadFactor, OverloadOutage: f.Invariants.Fall / 1000}
+	t.ProbeRoles = t.CanProbe && d.Reports && slices.Contains(f.Telemetry.Names, "x1")
 	if f.Limits.RetryAfter {
 		t.MaxPause = f.Limits.MaxRetryAfter / 1000
 	}
--- a/terms/terms_test.go
+++ b/terms/terms_test.go
@@ -19,7 +19,7 @@
 	require.NoError(t, err)
 	s := d.Splitter
 	require.Equal(t, []any{int64(7), 2, 3, 1, true, true, true, true, 0.25, 18.0, 0.0},
-		[]any{s.Seed, s.Me, s.Routers, s.Zone, s.AskList, s.NodesCheck, s.ProbeRoles, s.OnlyDrainBinds, s.ConnectIn,
+		[]any{s.Seed, s.Self, s.Routers, s.Zone, s.WatchList, s.NodesCheckFreshness, s.ProbeRoles, s.OnlyDrainExcludes, s.ConnectTimeout,
 			s.WarmAfter, s.MaxPause})
 	require.Equal(t, []splitter.TxnType{
 		{Need: splitter.NeedBounded, Bound: 0.2, Effect: splitter.Repeatable, Scope: splitter.ScopeAll, Window: 5, SLA: 0.4, Value: 1},
