--- a/splitter/dispatch.go
+++ b/splitter/dispatch.go
@@ -1,6 +1,6 @@
 package splitter
 
-// This file owns a txn's way from the queue to its final answer. It must never choose the member.
+// This file takes a txn from the queue to its final answer. It must never choose the member.
 
 import (
 	"cmp"
@@ -8,90 +8,90 @@
 	"slices"
 )
 
-// share is how many txns of late came, were sent, were answered in time (quick ones twice). It fades.
-type share struct{ asked, sent, got, at float64 }
+// recentCounts counts recent txns: those that arrived, were sent, and were answered in time (quick answers count twice). Counts fade.
+type recentCounts struct{ arrived, sent, inTime, at float64 }
 
-func (s *share) count(now, sent, got float64) {
-	f := math.Exp((s.at - now) / shareSpan)
-	s.asked, s.sent, s.got, s.at = s.asked*f+1, s.sent*f+sent, s.got*f+got, now
+func (s *recentCounts) add(now, sent, inTime float64) {
+	fade := math.Exp((s.at - now) / recentSpan)
+	s.arrived, s.sent, s.inTime, s.at = s.arrived*fade+1, s.sent*fade+sent, s.inTime*fade+inTime, now
 }
 
-func (r *Router) end(t *txn) {
+func (r *Router) finish(t *txn) {
 	if !t.ended {
 		t.ended = true
-		t.group.live--
+		t.group.active--
 		delete(r.txns, t.ID)
 	}
 }
 
-// dispatch gives up what is too late and submits what can be, most value for the work first.
+// dispatch gives up txns that are too late and submits those that can be, most value per SLA time first.
 func (r *Router) dispatch(g *group) {
-	for _, l := range r.ranked {
-		q := slices.DeleteFunc(g.waiting[l], func(t *txn) bool {
+	for _, typ := range r.typesByValue {
+		queue := slices.DeleteFunc(g.waiting[typ], func(t *txn) bool {
 			if !t.ended && r.tooLate(t) {
 				r.giveUp(t)
 			}
 			return t.ended
 		})
-		for len(q) > 0 {
-			// Reads leave newest first: when there are too many, the ones served are then served in time.
+		for len(queue) > 0 {
+			// Reads are submitted newest first: when there are too many, those that are served are served in time.
 			i := 0
-			if r.kinds[l].Need != NeedPrimary {
-				i = len(q) - 1
+			if r.types[typ].Need != NeedPrimary {
+				i = len(queue) - 1
 			}
-			n := r.choose(q[i])
+			n := r.choose(queue[i])
 			if n == nil {
 				break
 			}
-			if t := q[i]; r.shed(t) {
+			if t := queue[i]; r.shed(t) {
 				r.giveUp(t)
 			} else {
 				r.submit(t, n)
 			}
-			q = slices.Delete(q, i, i+1)
+			queue = slices.Delete(queue, i, i+1)
 		}
-		g.waiting[l] = q
+		g.waiting[typ] = queue
 	}
 }
 
-// shed tells whether a txn is one too many: so few were answered in time of late that sending all keeps
-// queues full. It covers overload and shared slowness; it harms where failures have another cause.
+// shed tells whether a txn is one too many: so few were answered in time recently that sending all of them keeps queues full.
+// It covers overload and slowness of all nodes; it does harm where failures have another cause.
 func (r *Router) shed(t *txn) bool {
-	s := t.group.shares[t.Need == NeedPrimary]
-	f := math.Exp((s.at - r.host.Now()) / shareSpan)
-	if t.IsRetry && s.asked*f > shareFree && t.LateValue < lateLeast && s.got < crowdShare*s.sent {
+	s := t.group.recent[t.Need == NeedPrimary]
+	fade := math.Exp((s.at - r.host.Now()) / recentSpan)
+	if t.IsRetry && s.arrived*fade > ignoredTxns && t.LateValue < lateValueMin && s.inTime < crowdThreshold*s.sent {
 		return true // its first try has most likely used up its time
 	}
-	over := r.rng.Float64()*(s.asked*f+1) < (s.asked-shareLeast*s.got)*f-shareFree
-	t.queued = t.queued || over
-	return over
+	excess := r.rng.Float64()*(s.arrived*fade+1) < (s.arrived-answeredFactor*s.inTime)*fade-ignoredTxns
+	t.hitOverload = t.hitOverload || excess
+	return excess
 }
 
-// last is when a txn is given up if it still waits: when its answer could not earn anything any more.
-func (r *Router) last(t *txn) float64 {
-	end := t.Deadline - 2*tick
+// giveUpTime returns when a txn that still waits is given up: when its answer could not have any value any more.
+func (r *Router) giveUpTime(t *txn) float64 {
+	end := t.Deadline - 2*tickInterval
 	if r.onlyInTime(t) {
 		end = min(end, t.arrived+t.SLA)
 	}
-	if t.ran > 0 && t.Effect == Referenced {
-		end = min(end, t.ran+t.Window-2*tick)
+	if t.firstRunAt > 0 && t.Effect == Referenced {
+		end = min(end, t.firstRunAt+t.Window-2*tickInterval)
 	}
 	return end
 }
 
-// onlyInTime tells whether a txn is wanted in time or not at all: a late answer earns nothing, or under half
-// while many come too late, when the room it takes makes others late. It covers queues that only grow.
+// onlyInTime tells whether a txn must be answered in time or not at all: a late answer has no value, or less than half while many
+// come too late and the room it takes delays others. It covers queues that only grow.
 func (r *Router) onlyInTime(t *txn) bool {
-	s := t.group.shares[t.Need == NeedPrimary]
-	return t.LateValue == 0 || t.LateValue < lateLeast && s.sent > shareFree && s.got < crowdShare*s.sent
+	s := t.group.recent[t.Need == NeedPrimary]
+	return t.LateValue == 0 || t.LateValue < lateValueMin && s.sent > ignoredTxns && s.inTime < crowdThreshold*s.sent
 }
 
-// tooLate tells whether a quick answer, or a usual one where room is short, is too late. A write never sent
-// by half of its wait is declined, to turn elsewhere; it harms where a primary comes in the second half.
+// tooLate tells whether a quick answer, or a usual one where room is short, would be too late. A write that was not sent within half of
+// its client's patience is declined so that the client can try elsewhere; it does harm where a primary appears in the second half.
 func (r *Router) tooLate(t *txn) bool {
-	left := r.last(t) - r.host.Now()
+	left := r.giveUpTime(t) - r.host.Now()
 	return left <= t.quick || t.cause == NoRoom && left <= t.work || t.tries == 0 && t.Need == NeedPrimary &&
-		r.host.Now() >= t.arrived+heldShare*(t.Deadline-t.arrived)-2*tick
+		r.host.Now() >= t.arrived+writeWaitShare*(t.Deadline-t.arrived)-2*tickInterval
 }
 
 func (r *Router) submit(t *txn, n *node) {
@@ -100,61 +100,61 @@
 	if r.onlyInTime(t) {
 		until = min(until, t.arrived+t.SLA)
 	}
-	// An answer overdue by far was lost, not late: in a third of its time the txn goes on, where a repeat does
-	// no harm. It covers nodes and ways that lose answers; it repeats work at a node eight times as slow.
-	third, usual := (until-now)/3, overdue*t.free
-	harmless := t.Effect == Repeatable || t.Effect == Referenced && now+third+usual < cmp.Or(t.ran, now)+t.Window
+	// An answer that is long overdue was lost, not late: after a third of its time the txn is submitted again, where a repeat does no
+	// harm. It covers nodes and networks that lose answers; it repeats work at a node that is eight times slower than usual.
+	third, usual := (until-now)/3, overdueFactor*t.free
+	harmless := t.Effect == Repeatable || t.Effect == Referenced && now+third+usual < cmp.Or(t.firstRunAt, now)+t.Window
 	if harmless && third > usual {
 		until = now + third
 	}
-	t.sentTo, t.sentAt, t.opened, t.cancelled = n, now, !n.hasOpenConnection(r), false
-	n.idle = n.idle[:max(0, len(n.idle)-1)]
+	t.sentTo, t.sentAt, t.newConnection, t.cancelled = n, now, !n.hasOpenConnection(r), false
+	n.idleSince = n.idleSince[:max(0, len(n.idleSince)-1)]
 	t.tries++
-	r.sent++
-	t.group.live++
+	r.sentCount++
+	t.group.active++
 	n.inFlight = append(n.inFlight, t)
 	r.host.Submit(t.ID, n.Node, until, func(res Result) { r.takeResult(t, n, res) })
 }
 
-// takeResult learns from the result of a submission, and the txn takes its next step.
+// takeResult learns from the result of a submission and takes the next step of the txn.
 func (r *Router) takeResult(t *txn, n *node, res Result) {
-	now := r.clock()
+	now := r.checkClock()
 	n.inFlight = slices.DeleteFunc(n.inFlight, func(x *txn) bool { return x == t })
 	t.sentTo = nil
-	t.group.live--
+	t.group.active--
 	if n.limit < 1 {
-		n.notBefore = now + (1/n.limit-1)*res.Latency // a limit under one is a share of the time
+		n.notBefore = now + (1/n.limit-1)*res.Latency // a limit below 1 is a share of the time
 	}
 	if res.ProvedType > 0 {
-		// A read that a replica turned away as a write is one. Against statements that hide their writes.
-		t.Type, t.kind = res.ProvedType-1, r.kinds[res.ProvedType-1]
+		// The txn proved to be of another type, such as a write in a statement that looked like a read and that a replica rejected.
+		t.Type, t.typeStats = res.ProvedType-1, r.types[res.ProvedType-1]
 	}
 	if !res.is(TimedOut, Broken, NoConn, Cancelled) { // these end a connection
-		n.idle = append(n.idle, now)
+		n.idleSince = append(n.idleSince, now)
 	}
-	if t.opened && t.sentAt >= r.stallEnd && res.is(Committed, TimedOut) {
+	if t.newConnection && t.sentAt >= r.stallEnd && res.is(Committed, TimedOut) {
 		r.connectCost += paceGain * (max(0, res.Latency-t.work) - r.connectCost)
 	}
-	r.learn(t, n, res)
-	if now < r.scarceUntil && len(n.inFlight) == 0 && res.Outcome != NoConn {
-		n.idle = nil
+	r.learnFromResult(t, n, res)
+	if now < r.connectionsScarceUntil && len(n.inFlight) == 0 && res.Outcome != NoConn {
+		n.idleSince = nil
 		r.host.CloseIdle(n.Node)
 	}
 	defer r.dispatch(t.group)
 	if res.Ended || t.ended {
-		r.end(t)
+		r.finish(t)
 		return
 	}
-	if t.ran == 0 && !res.is(Missed, Full, NoConn, Unsent) {
-		t.ran, t.ranZone = t.sentAt, n.Zone
+	if t.firstRunAt == 0 && !res.is(Missed, Full, NoConn, Unsent) {
+		t.firstRunAt, t.firstRunZone = t.sentAt, n.Zone
 	}
 	t.avoid = n
-	if t.started || t.tries >= r.terms.MaxSubmissions || now >= r.last(t) || t.ran > 0 && t.Effect == OnceOnly {
+	if t.answerStarted || t.tries >= r.terms.MaxSubmissions || now >= r.giveUpTime(t) || t.firstRunAt > 0 && t.Effect == OnceOnly {
 		r.giveUp(t)
 		return
 	}
-	wait := min(againMost, againFirst*math.Pow(2, float64(t.tries-1)))
-	if n != t.group.primary || !res.is(Failed, NoConn) || now+wait > r.last(t) {
+	wait := min(retryDelayMax, retryDelayFirst*math.Pow(2, float64(t.tries-1)))
+	if n != t.group.primary || !res.is(Failed, NoConn) || now+wait > r.giveUpTime(t) {
 		r.requeue(t)
 		return
 	}
@@ -167,26 +167,26 @@
 }
 
 func (r *Router) requeue(t *txn) {
-	q, i := t.group.waiting[t.Type], 0
+	queue, i := t.group.waiting[t.Type], 0
 	if t.Need != NeedPrimary {
-		i = len(q)
+		i = len(queue)
 	}
-	t.group.waiting[t.Type] = slices.Insert(q, i, t)
+	t.group.waiting[t.Type] = slices.Insert(queue, i, t)
 }
 
-// giveUp gives a txn its final answer at once. A decline says that trying again is harmless.
+// giveUp gives a txn its final answer at once. A decline tells the client that a retry is harmless.
 func (r *Router) giveUp(t *txn) {
-	r.end(t)
-	if t.queued {
-		t.group.shares[t.Need == NeedPrimary].count(r.host.Now(), min(1, float64(t.tries)), 0)
+	r.finish(t)
+	if t.hitOverload {
+		t.group.recent[t.Need == NeedPrimary].add(r.host.Now(), min(1, float64(t.tries)), 0)
 	}
-	if t.ran > 0 && t.Effect != Repeatable && !(t.Effect == Referenced && t.Scope == ScopeAll) {
+	if t.firstRunAt > 0 && t.Effect != Repeatable && !(t.Effect == Referenced && t.Scope == ScopeAll) {
 		r.host.RollBack(t.ID)
 		return
 	}
 	pause := 0.0
 	if r.onlyInTime(t) && r.host.Now() > t.arrived+t.SLA/2 {
-		pause = r.terms.MaxPause // no answer will be in time any more
+		pause = r.terms.MaxPause // no answer can be in time any more
 	}
 	if t.tries > 0 {
 		t.cause = Tried
--- a/splitter/probe.go
+++ b/splitter/probe.go
@@ -1,109 +1,109 @@
 package splitter
 
-// This file owns the probes: which member is asked when, who pays for that, and what an answer changes.
+// This file decides which member is probed when, which txns pay for it, and what an answer changes.
 
-// probes sends the probes that are due in a group while it has txns. A first look and what a held write waits
-// for come at once; all else is paid for by txns, so that quiet routers don't spend more than a group earns.
-func (r *Router) probes(g *group) {
+// sendDueProbes sends the probes that are due in a group while it has txns. First probes of members and those that a held write waits for
+// are sent at once. Txns pay for all others, so that routers with little traffic send no more probes than their txns earn.
+func (r *Router) sendDueProbes(g *group) {
 	now := r.host.Now()
 	if !r.terms.CanProbe {
 		return
 	}
 	waiting := r.waitingForRole(g)
-	held, told := g.held && waiting > 0 && now >= r.probesFailUntil, now < g.toldUntil
-	due := len(g.members)
-	if held && told {
+	heldTxns, peersProbe := g.writesHeld && waiting > 0 && now >= r.probesFailUntil, now < g.peersProbeUntil
+	firstSkipped := len(g.members)
+	if heldTxns && peersProbe {
 		r.host.RequestPeerProbes(g.id)
 	}
-	first := told || g.primary == nil && g.named != nil && g.named.bad == 0 // who peers say is primary
+	onlyCandidates := peersProbe || g.primary == nil && g.peerPrimary != nil && g.peerPrimary.probesFailed == 0 // the reported primary first
 	for i := range g.members {
-		n := g.members[(g.next+i)%len(g.members)]
-		asked := held && (!first || n == g.primary || n == g.named) // while peers look, only for what is their hint
-		if n.probing || n.closed || !n.aside && !asked && (told || held) {
+		n := g.members[(g.nextProbe+i)%len(g.members)]
+		isCandidate := heldTxns && (!onlyCandidates || n == g.primary || n == g.peerPrimary) // probed without delay
+		if n.probing || n.excluded || !n.aside && !isCandidate && (peersProbe || heldTxns) {
 			continue
 		}
-		every, owed, why := ordinary, n.probed == 0 && !n.known, Ordinary
+		interval, isFree, cause := ordinaryInterval, n.probedAt == 0 && !n.known, Ordinary
 		switch {
-		case held:
-			every, owed, why = min(slowest, max(hurried, heldPace*(now-g.since)/float64(waiting))), true, HeldTxn
-		case now < g.until || g.primary == nil:
-			every, why = hurried, InWindow
+		case heldTxns:
+			interval, isFree, cause = min(heldProbeMax, max(urgentInterval, heldProbePace*(now-g.heldSince)/float64(waiting))), true, HeldTxn
+		case now < g.windowEnd || g.primary == nil:
+			interval, cause = urgentInterval, InWindow
 		case n.aside:
-			every, why = asideProbe, SetAside
+			interval, cause = asideProbeInterval, SetAside
 		}
-		if n.probed == 0 {
-			why = FirstLook
-		} else if now-n.probed < every*(0.9+0.2*r.rng.Float64()) {
+		if n.probedAt == 0 {
+			cause = FirstLook
+		} else if now-n.probedAt < interval*(0.9+0.2*r.rng.Float64()) {
 			continue
 		}
-		if !owed {
+		if !isFree {
 			if g.probeCredit < 1 {
-				due = min(due, i)
+				firstSkipped = min(firstSkipped, i)
 				continue
 			}
 			g.probeCredit--
 		}
-		r.probe(n, why)
+		r.sendProbe(n, cause)
 	}
-	g.next += due // the first one left out
+	g.nextProbe += firstSkipped // the first one that was left out
 }
 
-// waitingForRole counts txns that wait for role evidence: writes, or all while no member is known as primary.
+// waitingForRole counts txns that wait for a member to prove its role: writes, or all while no member is known as primary.
 func (r *Router) waitingForRole(g *group) (count int) {
-	for l, q := range g.waiting {
-		if g.primary == nil && g.named == nil || r.kinds[l].Need == NeedPrimary {
-			count += len(q)
+	for typ, queue := range g.waiting {
+		if g.primary == nil && g.peerPrimary == nil || r.types[typ].Need == NeedPrimary {
+			count += len(queue)
 		}
 	}
 	return count
 }
 
-func (r *Router) probe(n *node, why Cause) {
-	n.probing, n.probed = true, r.host.Now()
+func (r *Router) sendProbe(n *node, why Cause) {
+	n.probing, n.probedAt = true, r.host.Now()
 	r.host.Probe(n.Node, why, func(rep Report) {
-		before := r.sent
-		if r.answered(n, n.probed, rep); r.sent > before {
+		before := r.sentCount
+		if r.takeProbeResult(n, n.probedAt, rep); r.sentCount > before {
 			r.host.Count(Freed, why)
 		}
 	})
 }
 
-// answered takes what a probe brought. While no member answers any, the record is frozen: it may be us.
-func (r *Router) answered(n *node, sent float64, rep Report) {
-	g, now := n.group, r.clock()
+// takeProbeResult takes the result of a probe. While no member answers any, the record is frozen: the fault may be on this router's side.
+func (r *Router) takeProbeResult(n *node, sent float64, rep Report) {
+	g, now := n.group, r.checkClock()
 	n.probing = false
 	if !rep.OK && sent < r.stallEnd {
 		return
 	}
 	if !rep.OK {
-		n.good, n.missed = 0, sent
-		n.bad++
+		n.probesAnswered, n.probeFailedAt = 0, sent
+		n.probesFailed++
 		g.failedProbes++
 		if !n.known && r.terms.NodesCheckFreshness {
-			n.known, n.lag = true, 0 // it was looked at in vain, and checks reads itself
+			n.known, n.lag = true, 0 // its first probe failed, and it checks reads itself
 		}
-		if n.bad >= badProbes && now >= r.probesFailUntil && g.failedProbes <= (frozenRounds-1)*len(g.members) {
+		if n.probesFailed >= failedProbesToLeave && now >= r.probesFailUntil && g.failedProbes <= (frozenRounds-1)*len(g.members) {
 			n.down = true
 			r.setAside(n)
-			if !g.held {
+			if !g.writesHeld {
 				r.holdWrites(n)
 			}
 		}
 		return
 	}
 	if n.down {
-		n.down, n.started = false, now // cold, before the list says so
+		n.down, n.coldSince = false, now // it is cold, before the list says so
 	}
-	n.bad, g.failedProbes = 0, 0
-	if n.refused > 0 && sent >= n.refused {
+	n.probesFailed, g.failedProbes = 0, 0
+	if n.refusedAt > 0 && sent >= n.refusedAt {
 		r.freeConnections(n)
 	}
-	n.good++
+	n.probesAnswered++
 	r.takeReport(n, rep, false)
-	if g.held && g.primary == n && rep.Role == RolePrimary && n.claimed > n.denied && sent >= g.heldAt {
-		g.held = false // the old primary is there after all
+	if g.writesHeld && g.primary == n && rep.Role == RolePrimary && n.claimedAt > n.deniedAt && sent >= g.evidenceAfter {
+		g.writesHeld = false // the old primary still serves
 	}
-	if n.aside && n.good >= goodProbes && now >= n.restsUntil {
+	if n.aside && n.probesAnswered >= goodProbesToRejoin && now >= n.restsUntil {
 		r.rejoin(n)
 	}
 	r.dispatch(g)
