--- a/cmd/eidersystem/demo_world.go
+++ b/cmd/eidersystem/demo_world.go
@@ -121,7 +121,7 @@
 	}
 	settings := w.layout.Controller(number, firstStart, data)
 	w.controllers[number] = startProcess(func(ctx context.Context) error {
-		return host.Run(ctx, host.Boot{Settings: settings, Log: w.log})
+		return host.Run(ctx, host.Options{Settings: settings, Log: w.log})
 	})
 	return nil
 }
--- a/cmd/eidersystem/run.go
+++ b/cmd/eidersystem/run.go
@@ -104,7 +104,7 @@
 }
 
 func runController(ctx context.Context, process process) error {
-	return host.Run(ctx, host.Boot{
+	return host.Run(ctx, host.Options{
 		Settings:  process.settings,
 		Reload:    process.changed,
 		Log:       process.log,
--- a/cmd/eidersystem/service.go
+++ b/cmd/eidersystem/service.go
@@ -69,7 +69,7 @@
 	if err != nil && line == "" {
 		return eris.New("service give-up: the name was not typed again; nothing was done")
 	}
-	asked := host.GiveUpRequest{Service: service, Typed: strings.TrimSpace(line), By: by}
+	asked := host.GiveUpRequest{Service: service, Confirmation: strings.TrimSpace(line), By: by}
 	body, err := json.Marshal(asked)
 	if err != nil {
 		return eris.Wrap(err, "service give-up")
--- a/gateway/backends.go
+++ b/gateway/backends.go
@@ -39,19 +39,19 @@
 }
 
 // figures returns the metrics of connections to instances.
-func (c *backendCounts) figures() []metrics.Figure {
-	var figures []metrics.Figure
+func (c *backendCounts) figures() []metrics.Sample {
+	var figures []metrics.Sample
 	for reason, name := range dialReasonNames {
-		figures = append(figures, metrics.Figure{
+		figures = append(figures, metrics.Sample{
 			Name: "backends_made_total", Help: "Connections to instances that were made, by why none could be used again.",
-			Value: float64(c.made[reason].Load()), Of: name,
+			Value: float64(c.made[reason].Load()), Label: name,
 		})
 	}
 	notMade := map[string]*atomic.Uint64{"connlimit": &c.limited, "refused": &c.refused, "failed": &c.failed}
 	for name, count := range notMade {
-		figures = append(figures, metrics.Figure{
+		figures = append(figures, metrics.Sample{
 			Name: "backends_not_made_total", Help: "Connections to instances that could not be made, by why.",
-			Value: float64(count.Load()), Of: name,
+			Value: float64(count.Load()), Label: name,
 		})
 	}
 	return figures
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -491,7 +491,7 @@
 // figure returns the value of one of the gateway's metrics.
 func (e *testEnv) figure(name string) float64 {
 	figures := (*e.metricsSource.Load())()
-	index := slices.IndexFunc(figures, func(figure metrics.Figure) bool { return figure.Name == name })
+	index := slices.IndexFunc(figures, func(figure metrics.Sample) bool { return figure.Name == name })
 	if index < 0 {
 		e.Fatalf("no metric %s", name)
 	}
--- a/host/admin.go
+++ b/host/admin.go
@@ -22,9 +22,9 @@
 
 // GiveUpRequest asks to give up what the lost copies of a service may have held. The name stands twice, as a person typed it.
 type GiveUpRequest struct {
-	Service string `json:"service"`
-	Typed   string `json:"typedAgain"`
-	By      string `json:"by"`
+	Service      string `json:"service"`
+	Confirmation string `json:"typedAgain"`
+	By           string `json:"by"`
 }
 
 const (
@@ -39,7 +39,7 @@
 	switch {
 	case r.Service == "":
 		return eris.New("no service is named")
-	case r.Typed != r.Service:
+	case r.Confirmation != r.Service:
 		return errTypedOtherwise
 	case r.By == "":
 		return eris.New("it isn't said who asks")
@@ -65,10 +65,10 @@
 
 // serveAdmin answers admin calls until the process ends.
 func (p *process) serveAdmin(front *front) error {
-	if p.boot.AdminSocket == "" {
+	if p.options.AdminSocket == "" {
 		return nil
 	}
-	listener, err := listenAdmin(p.boot.AdminSocket)
+	listener, err := listenAdmin(p.options.AdminSocket)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	context.AfterFunc(p.ctx, func() { _ = server.Close() })
 	p.background.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			p.boot.Log.WithError(err).Warn("admin socket")
+			p.options.Log.WithError(err).Warn("admin socket")
 		}
 	})
 	return nil
--- a/host/core_test.go
+++ b/host/core_test.go
@@ -86,8 +86,8 @@
 	}
 	c.controllers[index] = started
 	settings := c.settings[index]
-	boot := Boot{Settings: settings, Reload: started.reload, Log: coreLog(settings.Name), Terminate: started.terminate}
-	go func() { started.ended <- Run(ctx, boot) }()
+	options := Options{Settings: settings, Reload: started.reload, Log: coreLog(settings.Name), Terminate: started.terminate}
+	go func() { started.ended <- Run(ctx, options) }()
 	c.settings[index].FirstStart = false // for the next start
 }
 
@@ -288,5 +288,5 @@
 
 func TestRunNeedsAController(t *testing.T) {
 	is := is.New(t)
-	is.True(Run(t.Context(), Boot{Settings: system.Settings{Serves: []string{system.ServesEdge}}, Log: quietLog()}) != nil)
+	is.True(Run(t.Context(), Options{Settings: system.Settings{Serves: []string{system.ServesEdge}}, Log: quietLog()}) != nil)
 }
--- a/host/host.go
+++ b/host/host.go
@@ -36,8 +36,8 @@
 
 var errGraceOver = eris.New("host: the time to hand over is used up")
 
-// Boot is what a controller's process is started with.
-type Boot struct {
+// Options is what a controller's process is started with.
+type Options struct {
 	Settings  system.Settings
 	Reload    <-chan system.Settings // the settings file has changed; may be nil
 	Log       logrus.FieldLogger
@@ -47,23 +47,23 @@
 	AdminSocket string // path of the socket file for admin calls; "": none are taken
 }
 
-// Run runs a controller until it has ended in order after Boot.Terminate, or the context ends.
-func Run(ctx context.Context, boot Boot) error {
-	if !boot.Settings.IsController() {
+// Run runs a controller until it has ended in order after Options.Terminate, or the context ends.
+func Run(ctx context.Context, options Options) error {
+	if !options.Settings.IsController() {
 		return eris.New("host: the settings don't name " + system.ServesControlPlane)
 	}
-	opened, durable, err := openStore(ctx, boot)
+	opened, durable, err := openStore(ctx, options)
 	if err != nil {
 		return err
 	}
-	listeners, err := openListeners(ctx, boot.Settings)
+	listeners, err := openListeners(ctx, options.Settings)
 	if err != nil {
 		_ = opened.Close()
 		return err
 	}
-	process := newProcess(ctx, boot, opened, durable)
-	if boot.Publish != nil {
-		boot.Publish(process.figures)
+	process := newProcess(ctx, options, opened, durable)
+	if options.Publish != nil {
+		options.Publish(process.figures)
 	}
 	if err := process.start(listeners); err != nil {
 		process.end()
@@ -76,7 +76,7 @@
 
 // process is all that a controller's process consists of.
 type process struct {
-	boot     Boot
+	options  Options
 	store    *store.Store
 	inbox    *mailbox
 	counters *counters
@@ -97,24 +97,24 @@
 	background sync.WaitGroup
 }
 
-func newProcess(parent context.Context, boot Boot, opened *store.Store, durable replication.DurableState) *process {
+func newProcess(parent context.Context, options Options, opened *store.Store, durable replication.DurableState) *process {
 	ctx, cancel := context.WithCancelCause(parent)
 	counters := &counters{}
 	inbox := newMailbox(mailboxLimit)
 	numbers := &callNumbers{}
 	replies := newPending[controller.Reply]()
 	watches := newPending[feed.WatchAnswer]()
-	p := &process{boot: boot, store: opened, inbox: inbox, counters: counters, parent: parent, ctx: ctx, cancel: cancel}
+	p := &process{options: options, store: opened, inbox: inbox, counters: counters, parent: parent, ctx: ctx, cancel: cancel}
 
-	p.disk = newDiskWriter(opened, durable.Incarnation, inbox, boot.Log, counters, cancel)
-	p.peers = rpc.NewPeers(boot.Settings.RPCAddress(), boot.Settings.InternalRoutes, boot.Log)
-	p.relay = newRelay(boot.Settings.InternalRoutes)
+	p.disk = newDiskWriter(opened, durable.Incarnation, inbox, options.Log, counters, cancel)
+	p.peers = rpc.NewPeers(options.Settings.RPCAddress(), options.Settings.InternalRoutes, options.Log)
+	p.relay = newRelay(options.Settings.InternalRoutes)
 	p.front = newFront(inbox, numbers, replies, counters)
-	p.http = newHTTPServer(p.front, boot.Log)
+	p.http = newHTTPServer(p.front, options.Log)
 	p.internal = processFront{inbox: inbox, numbers: numbers, watches: watches, counters: counters, backstop: watchBackstop, relay: p.relay.ask}
 
 	started := time.Now()
-	decides := controller.New(time.Since(started), ControllerSettings(boot.Settings), durable)
+	decides := controller.New(time.Since(started), ControllerSettings(options.Settings), durable)
 	p.loop = &loop{
 		controller: decides,
 		leads:      func() bool { return decides.Status().Role == replication.Primary },
@@ -123,17 +123,17 @@
 		outbox:     &outbox{send: p.send},
 		replies:    replies,
 		watches:    watches,
-		log:        boot.Log,
+		log:        options.Log,
 		counters:   counters,
-		counterLog: counterLog{counters: counters, log: boot.Log, due: countersEvery},
+		counterLog: counterLog{counters: counters, log: options.Log, due: countersEvery},
 		started:    started,
 	}
-	if boot.Publish != nil {
+	if options.Publish != nil {
 		p.loop.tell = decides.Status
 	}
-	p.prober = newProber(ctx, boot.Settings.Name, p.loop.now, p.probed, counters)
+	p.prober = newProber(ctx, options.Settings.Name, p.loop.now, p.probed, counters)
 	p.platform = &platform{
-		address:  platformAddress(boot.Settings),
+		address:  platformAddress(options.Settings),
 		deliver:  p.called,
 		counters: counters,
 		ctx:      ctx,
@@ -157,11 +157,11 @@
 // start starts all that works beside the loop.
 func (p *process) start(listeners listeners) error {
 	go p.disk.run()
-	limits := connectionLimitsOf(p.boot.Settings.Limits.MaxFds)
+	limits := connectionLimitsOf(p.options.Settings.Limits.MaxFds)
 	p.server = rpc.Serve(p.limited(listeners.internal, limits.internal, 0), rpc.Handlers{
 		Message: p.internal.message,
 		Watch:   p.internal.watch,
-		Log:     p.boot.Log,
+		Log:     p.options.Log,
 	})
 	p.background.Go(func() {
 		if err := p.http.Serve(p.limited(listeners.control, limits.control, limits.kept())); !errors.Is(err, http.ErrServerClosed) {
@@ -178,8 +178,8 @@
 
 // followOrders passes on what the platform wants of the process.
 func (p *process) followOrders() {
-	terminate := p.boot.Terminate
-	reload := p.boot.Reload
+	terminate := p.options.Terminate
+	reload := p.options.Reload
 	for {
 		select {
 		case <-p.ctx.Done():
@@ -201,7 +201,7 @@
 
 // lastMoment is how long after SIGTERM the controller may hand over.
 func (p *process) lastMoment() time.Duration {
-	return time.Duration(float64(p.boot.Settings.Bounds.Grace()) * handOverShare)
+	return time.Duration(float64(p.options.Settings.Bounds.Grace()) * handOverShare)
 }
 
 // end closes everything, in an order in which nobody is left waiting: callers get their answers first, and the disk
@@ -232,10 +232,10 @@
 	select {
 	case <-p.disk.ended:
 		if err := p.store.Close(); err != nil {
-			p.boot.Log.WithError(err).Warn("disk: closing the store failed")
+			p.options.Log.WithError(err).Warn("disk: closing the store failed")
 		}
 	case <-timer.C:
-		p.boot.Log.Warn("disk: the last write has not ended")
+		p.options.Log.Warn("disk: the last write has not ended")
 	}
 }
 
--- a/host/measure_test.go
+++ b/host/measure_test.go
@@ -77,12 +77,12 @@
 	debug.SetGCPercent(measuredGarbage)
 	debug.SetMemoryLimit(measuredMemory)
 
-	boot := Boot{Settings: settings, Log: coreLog(settings.Name)}
-	opened, durable, err := openStore(t.Context(), boot)
+	options := Options{Settings: settings, Log: coreLog(settings.Name)}
+	opened, durable, err := openStore(t.Context(), options)
 	is.New(t).NoErr(err)
 	listeners, err := openListeners(t.Context(), settings)
 	is.New(t).NoErr(err)
-	measured := newProcess(t.Context(), boot, opened, durable)
+	measured := newProcess(t.Context(), options, opened, durable)
 	measured.start(listeners)
 	ended := make(chan struct{})
 	go func() {
--- a/host/open.go
+++ b/host/open.go
@@ -23,11 +23,11 @@
 )
 
 // openStore opens the store, and waits for a disk in trouble.
-func openStore(ctx context.Context, boot Boot) (*store.Store, replication.DurableState, error) {
-	options := store.Options{FirstStart: boot.Settings.FirstStart, Log: boot.Log}
+func openStore(ctx context.Context, options Options) (*store.Store, replication.DurableState, error) {
+	storeOptions := store.Options{FirstStart: options.Settings.FirstStart, Log: options.Log}
 	told := false
 	for {
-		opened, durable, err := store.Open(boot.Settings.DataDirectory, options)
+		opened, durable, err := store.Open(options.Settings.DataDirectory, storeOptions)
 		if err == nil {
 			return opened, durable, nil
 		}
@@ -35,7 +35,7 @@
 			return nil, replication.DurableState{}, err
 		}
 		if !told {
-			boot.Log.WithError(err).Warn("disk: the store does not open; trying on")
+			options.Log.WithError(err).Warn("disk: the store does not open; trying on")
 			told = true
 		}
 		if !sleep(ctx, openPause) {
--- a/host/process_test.go
+++ b/host/process_test.go
@@ -56,10 +56,10 @@
 }
 
 // newOrderedProcess is a process of which only what follows the platform's orders runs.
-func newOrderedProcess(t *testing.T, boot Boot) *process {
+func newOrderedProcess(t *testing.T, options Options) *process {
 	t.Helper()
 	ctx, cancel := context.WithCancelCause(t.Context())
-	p := &process{boot: boot, inbox: newMailbox(mailboxLimit), parent: t.Context(), ctx: ctx, cancel: cancel}
+	p := &process{options: options, inbox: newMailbox(mailboxLimit), parent: t.Context(), ctx: ctx, cancel: cancel}
 	p.background.Go(p.followOrders)
 	t.Cleanup(func() {
 		cancel(nil)
@@ -71,7 +71,7 @@
 func TestTerminateIsPassedOnAndBounded(t *testing.T) {
 	is := is.New(t)
 	terminate := make(chan struct{})
-	p := newOrderedProcess(t, Boot{Settings: exampleSettings(), Terminate: terminate})
+	p := newOrderedProcess(t, Options{Settings: exampleSettings(), Terminate: terminate})
 	close(terminate)
 	receive(t, p.inbox.ready)
 	is.Equal(p.inbox.take(nil), []controller.Input{controller.Terminate{}})
@@ -83,7 +83,7 @@
 func TestReloadPassesTheSeedsOn(t *testing.T) {
 	is := is.New(t)
 	reload := make(chan system.Settings)
-	p := newOrderedProcess(t, Boot{Settings: exampleSettings(), Reload: reload})
+	p := newOrderedProcess(t, Options{Settings: exampleSettings(), Reload: reload})
 	changed := exampleSettings()
 	changed.Seeds = []string{"10.0.0.7:8782"}
 	reload <- changed
@@ -93,7 +93,7 @@
 
 func TestAFaultIsTheProcessesError(t *testing.T) {
 	is := is.New(t)
-	p := newOrderedProcess(t, Boot{})
+	p := newOrderedProcess(t, Options{})
 	p.cancel(errOtherDisk)
 	is.Equal(p.failure(), errOtherDisk)
 }
--- a/system/metrics/metrics.go
+++ b/system/metrics/metrics.go
@@ -26,27 +26,27 @@
 	Gauge
 )
 
-// Figure is one figure at the moment of asking.
-type Figure struct {
+// Sample is one figure at the moment of asking.
+type Sample struct {
 	Name  string // without the prefix that all figures have
 	Help  string
 	Kind  Kind
 	Value float64
-	Of    string // what it belongs to, such as a service; "" for the process
+	Label string // value of the "of" label: what the sample belongs to, such as a service; "" for the whole process
 }
 
 // NewGauge gives a figure of the process that may rise and fall.
-func NewGauge(name, help string, value float64) Figure {
-	return Figure{Name: name, Help: help, Kind: Gauge, Value: value}
+func NewGauge(name, help string, value float64) Sample {
+	return Sample{Name: name, Help: help, Kind: Gauge, Value: value}
 }
 
-// NewGaugeOf gives a figure of a part of the process, such as a service.
-func NewGaugeOf(name, help, of string, value float64) Figure {
-	return Figure{Name: name, Help: help, Kind: Gauge, Value: value, Of: of}
+// NewLabeledGauge gives a figure of a part of the process, such as a service.
+func NewLabeledGauge(name, help, label string, value float64) Sample {
+	return Sample{Name: name, Help: help, Kind: Gauge, Value: value, Label: label}
 }
 
-// Flag is the value of a figure that only says whether something holds.
-func Flag(holds bool) float64 {
+// BoolValue is the value of a figure that only says whether something holds.
+func BoolValue(holds bool) float64 {
 	if holds {
 		return 1
 	}
@@ -54,7 +54,7 @@
 }
 
 // Source gives the figures of the moment. It is called from any goroutine.
-type Source func() []Figure
+type Source func() []Sample
 
 const (
 	prefix     = "eidersystem_"
@@ -113,8 +113,8 @@
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	for _, figure := range c.source() {
 		var labels, values []string
-		if figure.Of != "" {
-			labels, values = []string{ofLabel}, []string{figure.Of}
+		if figure.Label != "" {
+			labels, values = []string{ofLabel}, []string{figure.Label}
 		}
 		kind := prometheus.CounterValue
 		if figure.Kind == Gauge {
--- a/system/metrics/metrics_test.go
+++ b/system/metrics/metrics_test.go
@@ -23,10 +23,10 @@
 
 func TestFiguresAreServedAsText(t *testing.T) {
 	is := is.New(t)
-	source := func() []Figure {
-		return []Figure{
+	source := func() []Sample {
+		return []Sample{
 			{Name: "orders_total", Help: "Orders taken.", Value: 3},
-			{Name: "frozen", Help: "The service is frozen.", Kind: Gauge, Value: 1, Of: "db"},
+			{Name: "frozen", Help: "The service is frozen.", Kind: Gauge, Value: 1, Label: "db"},
 		}
 	}
 	server := httptest.NewServer(handler("/metrics", source))
--- a/system/settings.go
+++ b/system/settings.go
@@ -47,7 +47,7 @@
 	ActiveContracts []string          `json:"activeContracts"`
 	FaultTolerance  FaultTolerance    `json:"faultTolerance"`
 	Bounds          Bounds            `json:"bounds"`
-	ConfigurationBy string            `json:"config_mode"`
+	ConfigMode      string            `json:"config_mode"`
 	PlatformAPI     *PlatformAPI      `json:"platformApi"` // nil: the platform takes no calls
 }
 
