--- a/host/admin.go
+++ b/host/admin.go
@@ -14,13 +14,14 @@
 	"eiderway/control/controller"
 )
 
-// Admin calls go over a socket file on the controller's own machine, which only its user may open. They are for operators at that machine; no
-// caller over the network reaches them.
+// Admin calls go over a Unix socket on the controller's own machine, which only the user of the process may open. They are for operators
+// on that machine; callers on the network can't reach them.
 
-// GiveUpPath is the path of an admin call.
+// GiveUpPath is the path of the admin call that takes a GiveUpRequest.
 const GiveUpPath = "/service/give-up"
 
-// GiveUpRequest asks to give up what the lost copies of a service may have held. The name stands twice, as a person typed it.
+// GiveUpRequest asks to give up the commits that the lost copies of a service may have held. The operator types the name of the service
+// twice: Confirmation must equal Service.
 type GiveUpRequest struct {
 	Service      string `json:"service"`
 	Confirmation string `json:"typedAgain"`
@@ -32,22 +33,22 @@
 	adminTimeout = 5 * time.Second
 )
 
-var errTypedOtherwise = eris.New("the name that was typed again is another one")
+var errNotConfirmed = eris.New("the name that was typed again is another one")
 
-// check tells what is wrong with a request.
+// check returns an error if a field is missing or the confirmation doesn't match.
 func (r GiveUpRequest) check() error {
 	switch {
 	case r.Service == "":
 		return eris.New("no service is named")
 	case r.Confirmation != r.Service:
-		return errTypedOtherwise
+		return errNotConfirmed
 	case r.By == "":
 		return eris.New("it isn't said who asks")
 	}
 	return nil
 }
 
-// listenAdmin makes the socket file. One that an earlier process left behind is replaced.
+// listenAdmin listens on a Unix socket at the path. It replaces a socket file that an earlier process left behind.
 func listenAdmin(path string) (net.Listener, error) {
 	if info, err := os.Lstat(path); err == nil && info.Mode().Type() == os.ModeSocket {
 		_ = os.Remove(path)
@@ -63,8 +64,8 @@
 	return listener, nil
 }
 
-// serveAdmin answers admin calls until the process ends.
-func (p *process) serveAdmin(front *front) error {
+// serveAdmin serves admin calls until the process ends.
+func (p *process) serveAdmin(handler *controlHandler) error {
 	if p.options.AdminSocket == "" {
 		return nil
 	}
@@ -73,7 +74,7 @@
 		return err
 	}
 	routes := http.NewServeMux()
-	routes.HandleFunc("POST "+GiveUpPath, front.giveUpCopies)
+	routes.HandleFunc("POST "+GiveUpPath, handler.handleGiveUp)
 	server := &http.Server{Handler: routes, ReadTimeout: adminTimeout, WriteTimeout: adminTimeout}
 	context.AfterFunc(p.ctx, func() { _ = server.Close() })
 	p.background.Go(func() {
@@ -84,9 +85,9 @@
 	return nil
 }
 
-func (f *front) giveUpCopies(writer http.ResponseWriter, request *http.Request) {
-	body, whole := readBody(writer, request, maxHeartbeat)
-	if !whole {
+func (h *controlHandler) handleGiveUp(writer http.ResponseWriter, request *http.Request) {
+	body, complete := readBody(writer, request, maxHeartbeatBody)
+	if !complete {
 		return
 	}
 	var asked GiveUpRequest
@@ -98,6 +99,6 @@
 		writeError(writer, http.StatusBadRequest, err.Error())
 		return
 	}
-	call := f.numbers.next()
-	f.ask(writer, request, call, controller.GiveUp{Call: call, Service: asked.Service, By: asked.By, At: time.Now()})
+	call := h.ids.next()
+	h.submit(writer, request, call, controller.GiveUp{Call: call, Service: asked.Service, By: asked.By, At: time.Now()})
 }
--- a/host/core_test.go
+++ b/host/cluster_test.go
@@ -21,42 +21,42 @@
 )
 
 const (
-	coreSize = 3
-	// askAgain is the pause between tries of an operator or an instance.
-	askAgain = 20 * time.Millisecond
-	// corePatience is how long an acknowledgement may take: a takeover, on a busy test machine.
-	corePatience = 30 * time.Second
+	clusterSize = 3
+	// retryInterval is the pause between attempts of an operator or an instance.
+	retryInterval = 20 * time.Millisecond
+	// clusterTimeout is how long an acknowledgement may take: it covers a takeover on a busy test machine.
+	clusterTimeout = 30 * time.Second
 )
 
-// core is three controllers on loopback addresses of their own, with real disks.
-type core struct {
+// cluster is three controllers on separate loopback addresses, with real disks.
+type cluster struct {
 	t           *testing.T
-	controllers [coreSize]*running
-	settings    [coreSize]system.Settings
+	controllers [clusterSize]*runningController
+	settings    [clusterSize]system.Settings
 	client      *http.Client
 }
 
-// running is a controller's process in the test's process.
-type running struct {
+// runningController is a controller that runs within the test's process.
+type runningController struct {
 	kill      context.CancelFunc
 	terminate chan struct{}
 	reload    chan system.Settings
 	ended     chan error
 }
 
-func newCore(t *testing.T) *core {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
 	var hosts, addresses []string
-	for index := range coreSize {
+	for index := range clusterSize {
 		hosts = append(hosts, fmt.Sprintf("127.0.0.%d", index+1))
 	}
 	control, internal := loopback.ReserveForTest(t, hosts...).Number, loopback.ReserveForTest(t, hosts...).Number
 	for _, host := range hosts {
 		addresses = append(addresses, fmt.Sprintf("%s:%d", host, control))
 	}
-	c := &core{t: t, client: plainClient(t)}
+	c := &cluster{t: t, client: plainClient(t)}
 	c.client.Timeout = 2 * time.Second // callers give up after about a second
-	for index := range coreSize {
+	for index := range clusterSize {
 		c.settings[index] = system.Settings{
 			Name:           fmt.Sprintf("core-%d", index+1),
 			Serves:         []string{system.ServesControlPlane},
@@ -76,9 +76,9 @@
 	return c
 }
 
-func (c *core) start(index int) {
+func (c *cluster) start(index int) {
 	ctx, kill := context.WithCancel(context.Background())
-	started := &running{
+	started := &runningController{
 		kill:      kill,
 		terminate: make(chan struct{}),
 		reload:    make(chan system.Settings),
@@ -86,13 +86,13 @@
 	}
 	c.controllers[index] = started
 	settings := c.settings[index]
-	options := Options{Settings: settings, Reload: started.reload, Log: coreLog(settings.Name), Terminate: started.terminate}
+	options := Options{Settings: settings, Reload: started.reload, Log: controllerLog(settings.Name), Terminate: started.terminate}
 	go func() { started.ended <- Run(ctx, options) }()
 	c.settings[index].FirstStart = false // for the next start
 }
 
-// coreLog shows the controllers' lines if the environment asks for them.
-func coreLog(name string) logrus.FieldLogger {
+// controllerLog shows the log of the controllers if EIDERWAY_TEST_LOG is set.
+func controllerLog(name string) logrus.FieldLogger {
 	if os.Getenv("EIDERWAY_TEST_LOG") == "" {
 		return quietLog()
 	}
@@ -100,7 +100,7 @@
 }
 
 // end waits for the end of a controller and returns its error.
-func (c *core) end(index int) error {
+func (c *cluster) end(index int) error {
 	c.t.Helper()
 	err := receive(c.t, c.controllers[index].ended)
 	c.controllers[index].kill()
@@ -108,7 +108,7 @@
 	return err
 }
 
-func (c *core) kill(index int) {
+func (c *cluster) kill(index int) {
 	c.t.Helper()
 	c.controllers[index].kill()
 	if err := c.end(index); err != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-func (c *core) killAll() {
+func (c *cluster) killAll() {
 	for index, controller := range c.controllers {
 		if controller != nil {
 			c.kill(index)
@@ -124,57 +124,57 @@
 	}
 }
 
-// answered is a call's end, with the controller that gave it after redirects.
-type answered struct {
+// finalAnswer is the answer to a call, and the address of the controller that gave it after redirects.
+type finalAnswer struct {
 	status int
 	body   string
 	by     string
 }
 
-// ask calls one controller and follows redirects twice, as callers do.
-func (c *core) ask(method, address, path, body string) (answered, error) {
+// ask calls one controller and follows up to two redirects, as callers do.
+func (c *cluster) ask(method, address, path, body string) (finalAnswer, error) {
 	url := "http://" + address + path
 	for range 3 {
 		request, err := http.NewRequest(method, url, strings.NewReader(body))
 		if err != nil {
-			return answered{}, err
+			return finalAnswer{}, err
 		}
 		response, err := c.client.Do(request)
 		if err != nil {
-			return answered{}, err
+			return finalAnswer{}, err
 		}
 		content, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if err != nil {
-			return answered{}, err
+			return finalAnswer{}, err
 		}
 		if response.StatusCode != http.StatusTemporaryRedirect {
-			return answered{status: response.StatusCode, body: string(content), by: request.URL.Host}, nil
+			return finalAnswer{status: response.StatusCode, body: string(content), by: request.URL.Host}, nil
 		}
 		url = response.Header.Get("Location")
 	}
-	return answered{}, errors.New("redirected too often")
+	return finalAnswer{}, errors.New("redirected too often")
 }
 
-// settle asks the controllers one after the other until one gives a clear answer, beginning with the given one.
-func (c *core) settle(first int, method, path, body string) answered {
+// askUntilAnswered calls the controllers in turn, beginning with the given one, until one answers with neither a server error nor 408.
+func (c *cluster) askUntilAnswered(first int, method, path, body string) finalAnswer {
 	c.t.Helper()
-	deadline := time.Now().Add(corePatience)
+	deadline := time.Now().Add(clusterTimeout)
 	var last string
 	for try := first; time.Now().Before(deadline); try++ {
-		answer, err := c.ask(method, c.settings[try%coreSize].Listen.Control, path, body)
+		answer, err := c.ask(method, c.settings[try%clusterSize].Listen.Control, path, body)
 		if err == nil && answer.status < http.StatusInternalServerError && answer.status != http.StatusRequestTimeout {
 			return answer
 		}
 		last = fmt.Sprint(answer.status, answer.body, err)
-		time.Sleep(askAgain)
+		time.Sleep(retryInterval)
 	}
 	c.t.Fatalf("%s %s got no clear answer; the last try: %s", method, path, last)
 	panic("not reached")
 }
 
-// indexOf is the controller with this control address.
-func (c *core) indexOf(address string) int {
+// indexOf returns the index of the controller with this control address.
+func (c *cluster) indexOf(address string) int {
 	for index, settings := range c.settings {
 		if settings.Listen.Control == address {
 			return index
@@ -196,46 +196,46 @@
 		`"warmupLeftMs":0,"dbRole":%q,"callSeq":%d}`, address, role, sequence)
 }
 
-// watch asks as a gateway until the table is as wanted, and returns the last answer.
-func (c *core) watch(client *rpc.Client, wanted func(feed.Table) bool) feed.Table {
+// watch requests tables as a gateway does until one is as wanted, and returns it.
+func (c *cluster) watch(client *rpc.Client, wanted func(feed.Table) bool) feed.Table {
 	c.t.Helper()
-	deadline := time.Now().Add(corePatience)
+	deadline := time.Now().Add(clusterTimeout)
 	for try := 0; time.Now().Before(deadline); try++ {
 		ctx, cancel := context.WithTimeout(c.t.Context(), 2*time.Second)
 		request := feed.WatchRequest{Gateway: "g-1", Name: "g", Wait: time.Second}
-		answer, err := client.Watch(ctx, c.settings[try%coreSize].RPCAddress(), request)
+		answer, err := client.Watch(ctx, c.settings[try%clusterSize].RPCAddress(), request)
 		cancel()
 		if err == nil && answer.Table != nil && answer.Lease > 0 && wanted(*answer.Table) {
 			return *answer.Table
 		}
-		time.Sleep(askAgain)
+		time.Sleep(retryInterval)
 	}
-	c.t.Fatal("the table did not come to be as wanted")
+	c.t.Fatal("no controller returned the wanted table")
 	panic("not reached")
 }
 
-func TestCoreFromTheFirstStartThroughALoss(t *testing.T) {
+func TestClusterSurvivesLossOfPrimary(t *testing.T) {
 	is := is.New(t)
-	c := newCore(t)
-	for index := range coreSize {
+	c := newCluster(t)
+	for index := range clusterSize {
 		c.start(index)
 	}
 
-	// Founding, the first order, and its reading at every controller.
+	// The first start: the cluster forms, accepts a configuration, and every controller returns it.
 	first, second := configurationText(1), configurationText(2)
-	taken := c.settle(0, "POST", "/config/replace", first)
-	is.Equal(taken.status, 200)
-	for index := range coreSize {
-		read := c.settle(index, "GET", "/config/fetch", "")
+	accepted := c.askUntilAnswered(0, "POST", "/config/replace", first)
+	is.Equal(accepted.status, 200)
+	for index := range clusterSize {
+		read := c.askUntilAnswered(index, "GET", "/config/fetch", "")
 		is.Equal(read.status, 200)
 		is.Equal(read.body, first)
 	}
-	is.Equal(c.settle(0, "POST", "/config/replace", `{"configRevision":3`).status, 400)
+	is.Equal(c.askUntilAnswered(0, "POST", "/config/replace", `{"configRevision":3`).status, 400)
 
-	// An instance appears, is probed, and is in the table of a gateway as the leader.
+	// An instance registers, is probed, and appears as the leader in a gateway's table.
 	instance := newAnsweringInstance(t, true)
 	address := instance.listener.Addr().String()
-	is.Equal(c.settle(1, "POST", "/instances/i-1/heartbeat", beatText(address, "primary", 1)).status, 200)
+	is.Equal(c.askUntilAnswered(1, "POST", "/instances/i-1/heartbeat", beatText(address, "primary", 1)).status, 200)
 	gateway := &rpc.Client{}
 	defer gateway.Close()
 	leads := func(table feed.Table) bool {
@@ -243,50 +243,50 @@
 	}
 	is.Equal(c.watch(gateway, leads).Services[0].Leader.Term, uint64(3))
 
-	// The primary is lost: the others know all that was acknowledged, and take the next order.
-	lost := c.indexOf(c.settle(0, "GET", "/config/fetch", "").by)
+	// The primary is lost: the others have everything that was acknowledged, and accept the next configuration.
+	lost := c.indexOf(c.askUntilAnswered(0, "GET", "/config/fetch", "").by)
 	c.kill(lost)
-	is.Equal(c.settle(lost+1, "GET", "/config/fetch", "").body, first)
-	is.Equal(c.settle(lost+1, "POST", "/config/replace", second).status, 200)
-	is.Equal(c.settle(lost+2, "POST", "/config/replace", first).status, 200) // sent again: acknowledged again
-	is.Equal(c.settle(lost+2, "GET", "/config/fetch", "").body, second)
-	is.Equal(c.settle(lost+1, "POST", "/instances/i-1/heartbeat", beatText(address, "primary", 2)).status, 200)
+	is.Equal(c.askUntilAnswered(lost+1, "GET", "/config/fetch", "").body, first)
+	is.Equal(c.askUntilAnswered(lost+1, "POST", "/config/replace", second).status, 200)
+	is.Equal(c.askUntilAnswered(lost+2, "POST", "/config/replace", first).status, 200) // sent again: acknowledged again
+	is.Equal(c.askUntilAnswered(lost+2, "GET", "/config/fetch", "").body, second)
+	is.Equal(c.askUntilAnswered(lost+1, "POST", "/instances/i-1/heartbeat", beatText(address, "primary", 2)).status, 200)
 
-	// It comes back with its disk.
+	// The lost controller returns with its disk.
 	c.start(lost)
-	is.Equal(c.settle(lost, "GET", "/config/fetch", "").body, second)
+	is.Equal(c.askUntilAnswered(lost, "GET", "/config/fetch", "").body, second)
 }
 
-func TestCoreSurvivesTheEndOfAllProcesses(t *testing.T) {
+func TestClusterSurvivesRestartOfAllProcesses(t *testing.T) {
 	is := is.New(t)
-	c := newCore(t)
-	for index := range coreSize {
+	c := newCluster(t)
+	for index := range clusterSize {
 		c.start(index)
 	}
-	is.Equal(c.settle(0, "POST", "/config/replace", configurationText(5)).status, 200)
+	is.Equal(c.askUntilAnswered(0, "POST", "/config/replace", configurationText(5)).status, 200)
 	c.killAll()
-	for index := range coreSize {
+	for index := range clusterSize {
 		c.start(index)
 	}
-	is.Equal(c.settle(0, "GET", "/config/fetch", "").body, configurationText(5))
+	is.Equal(c.askUntilAnswered(0, "GET", "/config/fetch", "").body, configurationText(5))
 }
 
-func TestControllerThatIsTerminatedHandsOver(t *testing.T) {
+func TestTerminatedControllerHandsOver(t *testing.T) {
 	is := is.New(t)
-	c := newCore(t)
-	for index := range coreSize {
+	c := newCluster(t)
+	for index := range clusterSize {
 		c.start(index)
 	}
-	taken := c.settle(0, "POST", "/config/replace", configurationText(1))
-	is.Equal(taken.status, 200)
-	leaving := c.indexOf(taken.by)
+	accepted := c.askUntilAnswered(0, "POST", "/config/replace", configurationText(1))
+	is.Equal(accepted.status, 200)
+	leaving := c.indexOf(accepted.by)
 	close(c.controllers[leaving].terminate)
-	is.NoErr(c.end(leaving)) // within its grace
-	is.Equal(c.settle(leaving+1, "POST", "/config/replace", configurationText(2)).status, 200)
-	is.Equal(c.settle(leaving+2, "GET", "/config/fetch", "").body, configurationText(2))
+	is.NoErr(c.end(leaving)) // within its grace period
+	is.Equal(c.askUntilAnswered(leaving+1, "POST", "/config/replace", configurationText(2)).status, 200)
+	is.Equal(c.askUntilAnswered(leaving+2, "GET", "/config/fetch", "").body, configurationText(2))
 }
 
-func TestRunNeedsAController(t *testing.T) {
+func TestRunRequiresControllerSettings(t *testing.T) {
 	is := is.New(t)
 	is.True(Run(t.Context(), Options{Settings: system.Settings{Serves: []string{system.ServesEdge}}, Log: quietLog()}) != nil)
 }
--- a/host/front_test.go
+++ b/host/controlhandler_test.go
@@ -18,11 +18,11 @@
 	"eiderway/control/replication"
 )
 
-const soundBeat = `{"targetService":"s","address":"10.0.0.1:80","zone":"z","configRevision":"v1","slotCount":7,` +
+const validHeartbeat = `{"targetService":"s","address":"10.0.0.1:80","zone":"z","configRevision":"v1","slotCount":7,` +
 	`"operState":"ready","warmupLeftMs":0,"dbRole":"replica","callSeq":4}`
 
-// mirror answers each kind of call with a status of its own, and with what it was told as body.
-func mirror(input controller.Input) controller.Effects {
+// echoInput replies to each kind of call with a body that shows what the controller received.
+func echoInput(input controller.Input) controller.Effects {
 	reply := func(call controller.CallID, status int, body string) controller.Effects {
 		return controller.Effects{Replies: []controller.Reply{{Call: call, Status: status, Body: []byte(body)}}}
 	}
@@ -40,7 +40,7 @@
 }
 
 func TestCallsReachTheController(t *testing.T) {
-	r := newRig(t, rigOptions{answer: mirror})
+	r := newRig(t, rigOptions{answer: echoInput})
 	for _, example := range []struct {
 		method, path, body string
 		status             int
@@ -48,18 +48,18 @@
 	}{
 		{"POST", "/config/replace", "x", 200, `{"order":"x"}`},
 		{"GET", "/config/fetch", "", 200, `{"fetch":true}`},
-		{"POST", "/instances/i-1/heartbeat", soundBeat, 200, `{"beat":"i-1"}`},
-		{"POST", "/instances/i%2F1/heartbeat", soundBeat, 200, `{"beat":"i/1"}`},
+		{"POST", "/instances/i-1/heartbeat", validHeartbeat, 200, `{"beat":"i-1"}`},
+		{"POST", "/instances/i%2F1/heartbeat", validHeartbeat, 200, `{"beat":"i/1"}`},
 		{"POST", "/instances/i-1/leave", "", 204, ""},
 		{"GET", "/config/replace", "", 405, ""},
 		{"POST", "/config/fetch", "", 405, ""},
 		{"GET", "/instances/i-1/heartbeat", "", 405, ""},
 		{"GET", "/", "", 404, ""},
 		{"POST", "/config/replace/", "x", 404, ""},
-		{"POST", "/instances//heartbeat", soundBeat, 404, ""},
-		{"POST", "/instances/i-1/dance", soundBeat, 404, ""},
+		{"POST", "/instances//heartbeat", validHeartbeat, 404, ""},
+		{"POST", "/instances/i-1/dance", validHeartbeat, 404, ""},
 		{"POST", "/instances/i-1/heartbeat", "{", 400, ""},
-		{"POST", "/instances/i-1/heartbeat", strings.Repeat(" ", maxHeartbeat+1), 413, ""},
+		{"POST", "/instances/i-1/heartbeat", strings.Repeat(" ", maxHeartbeatBody+1), 413, ""},
 	} {
 		t.Run(example.method+example.path, func(t *testing.T) {
 			is := is.New(t)
@@ -94,9 +94,9 @@
 	is.Equal(refused.header.Get("Content-Type"), "application/json")
 }
 
-func TestOrderBeyondTheBoundIsRefused(t *testing.T) {
+func TestOversizedConfigurationIsRefused(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, rigOptions{answer: mirror})
+	r := newRig(t, rigOptions{answer: echoInput})
 	large := strings.Repeat("x", configuration.MaxBody+1)
 	is.Equal(call(t, "POST", r.url+"/config/replace", strings.NewReader(large)).status, 413)
 
@@ -107,10 +107,10 @@
 	is.NoErr(err)
 	is.NoErr(response.Body.Close())
 	is.Equal(response.StatusCode, 413)
-	is.Equal(len(r.controller.told), 0) // neither reached the controller
+	is.Equal(len(r.controller.inputs), 0) // neither reached the controller
 }
 
-// begin opens a connection and sends text.
+// begin opens a connection and sends the text.
 func begin(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	is := is.New(t)
@@ -118,45 +118,45 @@
 	connection, err := net.Dial("tcp4", address)
 	is.NoErr(err)
 	t.Cleanup(func() { _ = connection.Close() })
-	is.NoErr(connection.SetDeadline(time.Now().Add(patience)))
+	is.NoErr(connection.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = io.WriteString(connection, text)
 	is.NoErr(err)
 	return connection
 }
 
-func TestNoOrderIsMadeOfAPart(t *testing.T) {
+func TestTruncatedBodyIsNotProcessed(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, rigOptions{answer: mirror})
+	r := newRig(t, rigOptions{answer: echoInput})
 	broken := begin(t, r.address, "POST /config/replace HTTP/1.1\r\nHost: c\r\nContent-Length: 100\r\n\r\nhalf")
 	is.NoErr(broken.(*net.TCPConn).CloseWrite())
 	response, err := http.ReadResponse(bufio.NewReader(broken), nil)
 	is.NoErr(err)
 	is.NoErr(response.Body.Close())
-	is.Equal(response.StatusCode, 408) // no verdict on the content
-	is.Equal(len(r.controller.told), 0)
+	is.Equal(response.StatusCode, 408) // says nothing about the content
+	is.Equal(len(r.controller.inputs), 0)
 }
 
-func TestCallerThatBreaksOffIsAbandoned(t *testing.T) {
+func TestDisconnectedCallerIsAbandoned(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, rigOptions{})
 	caller := begin(t, r.address, "POST /config/replace HTTP/1.1\r\nHost: c\r\nContent-Length: 1\r\n\r\nx")
-	order := wait[controller.ReplaceConfiguration](t, r.controller)
+	order := waitForInput[controller.ReplaceConfiguration](t, r.controller)
 	is.NoErr(caller.Close())
-	is.Equal(wait[controller.Abandon](t, r.controller).Call, order.Call)
+	is.Equal(waitForInput[controller.Abandon](t, r.controller).Call, order.Call)
 }
 
-func TestCallLeftOpenIsEndedByTheBackstop(t *testing.T) {
+func TestUnansweredCallEndsAtBackstop(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, rigOptions{backstop: 20 * time.Millisecond})
 	answer := call(t, "GET", r.url+"/config/fetch", nil)
 	is.Equal(answer.status, 503)
-	fetch := wait[controller.FetchConfiguration](t, r.controller)
-	is.Equal(wait[controller.Abandon](t, r.controller).Call, fetch.Call)
+	fetch := waitForInput[controller.FetchConfiguration](t, r.controller)
+	is.Equal(waitForInput[controller.Abandon](t, r.controller).Call, fetch.Call)
 }
 
-func TestFullMailboxTurnsCallersAway(t *testing.T) {
+func TestFullMailboxRejectsCallers(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, rigOptions{held: true, limit: 2})
+	r := newRig(t, rigOptions{withoutLoop: true, limit: 2})
 	r.internal.message(replication.Message{})
 	r.internal.message(replication.Message{})
 	answer := call(t, "GET", r.url+"/config/fetch", nil)
@@ -168,16 +168,16 @@
 	_, answered := r.internal.watch(t.Context(), feed.WatchRequest{})
 	is.True(!answered)
 
-	r.loop.inbox.post(controller.Persisted{}) // what must not be lost is taken all the same
+	r.loop.inbox.post(controller.Persisted{}) // post adds it despite the limit
 	is.Equal(len(r.loop.inbox.take(nil)), 3)
 }
 
-func TestEndAnswersThoseWhoWait(t *testing.T) {
+func TestClosedMailboxAnswersWaitingCallers(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, rigOptions{})
 	answers := make(chan callAnswer, 1)
 	go func() { answers <- call(t, "GET", r.url+"/config/fetch", nil) }()
-	wait[controller.FetchConfiguration](t, r.controller)
+	waitForInput[controller.FetchConfiguration](t, r.controller)
 	r.loop.inbox.close()
 	is.Equal(receive(t, answers).status, 503)
 	is.Equal(call(t, "GET", r.url+"/config/fetch", nil).status, 503)
@@ -186,13 +186,13 @@
 func TestLateReplyIsDropped(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, rigOptions{answer: func(input controller.Input) controller.Effects {
-		if gone, isIt := input.(controller.Abandon); isIt {
+		if gone, ok := input.(controller.Abandon); ok {
 			return controller.Effects{Replies: []controller.Reply{{Call: gone.Call, Status: 200}}}
 		}
 		return controller.Effects{}
 	}, backstop: time.Millisecond})
 	is.Equal(call(t, "GET", r.url+"/config/fetch", nil).status, 503)
-	wait[controller.Abandon](t, r.controller)
+	waitForInput[controller.Abandon](t, r.controller)
 	r.stop()
 	is.Equal(r.counters.lateReplies.Load(), uint64(1))
 }
@@ -200,8 +200,8 @@
 func TestWatchIsAnsweredOrAbandoned(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, rigOptions{answer: func(input controller.Input) controller.Effects {
-		asked, isIt := input.(controller.Watch)
-		if !isIt || asked.Request.Leaving {
+		asked, ok := input.(controller.Watch)
+		if !ok || asked.Request.Leaving {
 			return controller.Effects{}
 		}
 		answer := controller.WatchReply{Call: asked.Call, Answer: feed.WatchAnswer{Lease: time.Second}}
@@ -210,14 +210,14 @@
 	answer, answered := r.internal.watch(t.Context(), feed.WatchRequest{})
 	is.True(answered)
 	is.Equal(answer.Lease, time.Second)
-	wait[controller.Watch](t, r.controller)
+	waitForInput[controller.Watch](t, r.controller)
 
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, answered = r.internal.watch(gone, feed.WatchRequest{Leaving: true})
 	is.True(!answered)
-	asked := wait[controller.Watch](t, r.controller)
-	is.Equal(wait[controller.Abandon](t, r.controller).Call, asked.Call)
+	asked := waitForInput[controller.Watch](t, r.controller)
+	is.Equal(waitForInput[controller.Abandon](t, r.controller).Call, asked.Call)
 }
 
 func TestConnectionsBeyondTheLimitAreClosed(t *testing.T) {
--- a/host/counters.go
+++ b/host/counters.go
@@ -7,30 +7,30 @@
 	"github.com/sirupsen/logrus"
 )
 
-// countersEvery is the time between two lines of counters. A line costs processor time, so it is left out while
-// nothing has happened.
-const countersEvery = 30 * time.Second
+// counterLogInterval is the time between two log lines of counters. A line costs processor time, so none is written while no counter has
+// changed.
+const counterLogInterval = 30 * time.Second
 
-// counters of one life of the process.
+// counters count events since the start of the process.
 type counters struct {
 	orders, fetches, heartbeats, leaves, watches   atomic.Uint64
-	relayed                                        atomic.Uint64 // gateways' questions that were passed on to the primary
+	relayed                                        atomic.Uint64 // watch requests of gateways that were relayed to the primary
 	overloaded, unanswered, abandoned, lateReplies atomic.Uint64
 	messagesDropped, connectionsRefused            atomic.Uint64
 	diskWrites, diskFailures                       atomic.Uint64
 	probes, platformCalls                          atomic.Uint64
-	steps                                          atomic.Uint64 // not counted as news: they never rest
+	steps                                          atomic.Uint64 // not in reported: ticks raise it all the time
 }
 
-// count is a counter with its name in the log.
-type count struct {
+// namedCounter is a counter with its name in the log and in the metrics.
+type namedCounter struct {
 	name    string
 	counter *atomic.Uint64
 }
 
-// news lists the counters that are worth a line when they change.
-func (c *counters) news() []count {
-	return []count{
+// reported returns the counters whose change causes a log line. All of them are also metrics.
+func (c *counters) reported() []namedCounter {
+	return []namedCounter{
 		{"orders", &c.orders},
 		{"fetches", &c.fetches},
 		{"heartbeats", &c.heartbeats},
@@ -50,31 +50,31 @@
 	}
 }
 
-// counterLog writes the counters now and then. It belongs to the loop.
+// counterLog logs the counters at intervals. Only the goroutine of the loop uses it.
 type counterLog struct {
 	counters *counters
 	log      logrus.FieldLogger
 	due      time.Duration
-	last     uint64 // sum of the counters at the last line
+	lastSum  uint64 // sum of the counters when the last line was written
 }
 
-// tick writes a line if one is due and something has changed.
+// tick writes a line if one is due and a counter has changed.
 func (l *counterLog) tick(now time.Duration) {
 	if now < l.due {
 		return
 	}
-	l.due = now + countersEvery
-	news := l.counters.news()
+	l.due = now + counterLogInterval
+	reported := l.counters.reported()
 	sum := uint64(0)
-	for _, entry := range news {
+	for _, entry := range reported {
 		sum += entry.counter.Load()
 	}
-	if sum == l.last {
+	if sum == l.lastSum {
 		return
 	}
-	l.last = sum
+	l.lastSum = sum
 	fields := logrus.Fields{"steps": l.counters.steps.Load()}
-	for _, entry := range news {
+	for _, entry := range reported {
 		if value := entry.counter.Load(); value > 0 {
 			fields[entry.name] = value
 		}
--- a/host/disk.go
+++ b/host/disk.go
@@ -13,47 +13,47 @@
 	"eiderway/control/replication"
 )
 
-// Pauses between attempts to open the store again after the disk refused a write. The disk of a small machine refuses
-// for seconds at a time; a second is the longest that is added to that.
+// Pauses between attempts to reopen the store after a failed write. The disk of a small machine fails for seconds at a time; the pauses
+// add at most a second to that.
 const (
-	reopenPauseFirst = 100 * time.Millisecond
-	reopenPauseMost  = time.Second
+	reopenPauseMin = 100 * time.Millisecond
+	reopenPauseMax = time.Second
 )
 
-// diskStore is what the writer needs of the store.
+// diskStore is the part of store.Store that diskWriter uses.
 type diskStore interface {
 	Apply(writes []replication.Write) error
 	Reopen() (replication.DurableState, error)
 }
 
-// errOtherDisk ends the process: it must not speak for an incarnation whose promises are gone.
-var errOtherDisk = eris.New("host: the disk holds another incarnation than before")
+// errForeignIncarnation ends the process: it must not act for an incarnation whose promises are no longer on disk.
+var errForeignIncarnation = eris.New("host: the disk holds another incarnation than before")
 
-// diskWriter carries writes out in order, all that wait in one transaction, and tells the controller how they ended.
+// diskWriter applies writes in order and reports their outcome to the controller. All queued writes go into one transaction.
 type diskWriter struct {
 	store    diskStore
 	self     quorum.Incarnation
 	inbox    *mailbox
 	log      logrus.FieldLogger
 	counters *counters
-	lost     context.CancelCauseFunc // ends the process
-	wake     chan struct{}           // holds one token while there is something to look at
+	cancel   context.CancelCauseFunc // ends the process
+	wake     chan struct{}           // holds one token while there may be work
 	stopping chan struct{}
 	ended    chan struct{}
-	pause    time.Duration // before the store is opened again; 0: the last write succeeded. The writer's own
+	pause    time.Duration // before the next attempt to reopen the store; 0: the last write succeeded. Used by the goroutine of run only
 
-	mutex   sync.Mutex
-	queue   []replication.Write
-	refused bool // a write failed, and the controller has not been told yet
-	busy    bool // a transaction is under way
-	foreign bool // the disk holds another incarnation now
+	mutex      sync.Mutex
+	queue      []replication.Write
+	isRefusing bool // a write failed, and the controller has not taken the failure yet
+	isWriting  bool // a transaction is in progress
+	isForeign  bool // the disk holds another incarnation
 }
 
-func newDiskWriter(store diskStore, self quorum.Incarnation, inbox *mailbox, log logrus.FieldLogger, counters *counters, lost context.CancelCauseFunc) *diskWriter {
+func newDiskWriter(store diskStore, self quorum.Incarnation, inbox *mailbox, log logrus.FieldLogger, counters *counters, cancel context.CancelCauseFunc) *diskWriter {
 	return &diskWriter{
 		store:    store,
 		self:     self,
-		lost:     lost,
+		cancel:   cancel,
 		inbox:    inbox,
 		log:      log,
 		counters: counters,
@@ -63,7 +63,7 @@
 	}
 }
 
-// enqueue hands writes out. It does not wait.
+// enqueue queues writes. It does not block.
 func (d *diskWriter) enqueue(writes []replication.Write) {
 	if len(writes) == 0 {
 		return
@@ -74,24 +74,24 @@
 	d.signal()
 }
 
-// failureTaken is called by the loop when it hands DiskFailed to the controller: all writes that were handed out until
-// now count as refused, and those that follow are carried out again.
-func (d *diskWriter) failureTaken() {
+// acknowledgeFailure is called by the loop when it passes DiskFailed to the controller: all writes queued until now count as failed and
+// are dropped, and later ones are applied again.
+func (d *diskWriter) acknowledgeFailure() {
 	d.mutex.Lock()
 	d.queue = nil
-	d.refused = false
+	d.isRefusing = false
 	d.mutex.Unlock()
 	d.signal()
 }
 
-// idle tells whether no write waits or is under way.
-func (d *diskWriter) idle() bool {
+// isIdle reports whether no write is queued or in progress.
+func (d *diskWriter) isIdle() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return len(d.queue) == 0 && !d.busy && !d.refused
+	return len(d.queue) == 0 && !d.isWriting && !d.isRefusing
 }
 
-// stop lets the writer finish what waits and end.
+// stop makes run return after it has applied the queued writes.
 func (d *diskWriter) stop() { close(d.stopping) }
 
 func (d *diskWriter) run() {
@@ -113,22 +113,22 @@
 	}
 }
 
-// next takes all that may be written now.
+// next takes all writes that may be applied now.
 func (d *diskWriter) next() []replication.Write {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.refused || d.foreign {
+	if d.isRefusing || d.isForeign {
 		return nil
 	}
 	writes := d.queue
 	d.queue = nil
-	d.busy = len(writes) > 0
+	d.isWriting = len(writes) > 0
 	return writes
 }
 
 func (d *diskWriter) write(writes []replication.Write) {
 	err := d.store.Apply(writes)
-	d.noteState(err)
+	d.logTransition(err)
 	d.finish(err != nil)
 	if err == nil {
 		d.counters.diskWrites.Add(1)
@@ -140,50 +140,50 @@
 	d.reopen()
 }
 
-// noteState logs when the disk begins to refuse writes and when it takes them again, not each failure in between.
-func (d *diskWriter) noteState(err error) {
+// logTransition logs when writes begin to fail and when they succeed again, not each failure in between.
+func (d *diskWriter) logTransition(err error) {
 	wasFailing := d.pause > 0
 	switch {
 	case err == nil && wasFailing:
 		d.pause = 0
 		d.log.Info("disk: writes succeed again")
 	case err != nil && !wasFailing:
-		d.pause = reopenPauseFirst
+		d.pause = reopenPauseMin
 		d.log.WithError(err).Warn("disk: a write failed; nothing is acknowledged until one succeeds")
 	}
 }
 
-func (d *diskWriter) finish(refused bool) {
+func (d *diskWriter) finish(failed bool) {
 	d.mutex.Lock()
-	d.busy = false
-	d.refused = refused
+	d.isWriting = false
+	d.isRefusing = failed
 	d.mutex.Unlock()
 }
 
-// reopen tries until the store is open or the writer is to stop. The pauses grow until a write succeeds.
+// reopen retries until the store is open or the writer is stopped. The pauses grow until a write succeeds.
 func (d *diskWriter) reopen() {
 	for d.sleep(d.pause) {
-		d.pause = min(2*d.pause, reopenPauseMost)
+		d.pause = min(2*d.pause, reopenPauseMax)
 		durable, err := d.store.Reopen()
 		if err != nil {
 			continue
 		}
 		if durable.Incarnation != d.self {
-			d.giveUp()
+			d.abortProcess()
 		}
 		return
 	}
 }
 
-// giveUp ends the process. Until then nothing is written to the disk of another incarnation.
-func (d *diskWriter) giveUp() {
+// abortProcess ends the process. Nothing more is written to the disk, which belongs to another incarnation.
+func (d *diskWriter) abortProcess() {
 	d.mutex.Lock()
-	d.foreign = true
+	d.isForeign = true
 	d.mutex.Unlock()
-	d.lost(errOtherDisk)
+	d.cancel(errForeignIncarnation)
 }
 
-// sleep waits, and tells whether it was not disturbed by the end of the writer.
+// sleep pauses, and returns false if the writer was stopped meanwhile.
 func (d *diskWriter) sleep(pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/host/harness_test.go
+++ b/host/harness_test.go
@@ -20,32 +20,32 @@
 	"eiderway/control/replication"
 )
 
-// patience is how long a test waits for what must come; only a fault uses it up.
-const patience = 10 * time.Second
+// testTimeout is how long a test waits for an event that must happen. Only a fault lets it expire.
+const testTimeout = 10 * time.Second
 
 const ownIncarnation quorum.Incarnation = "own"
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scripted is a controller whose steps a test decides on, and which keeps what it was told.
-type scripted struct {
-	answer func(input controller.Input) controller.Effects // in the loop's goroutine; nil: nothing
-	told   chan controller.Input                           // all inputs but ticks
-	ticks  chan struct{}                                   // one token for the ticks since it was taken last
+// scriptedController is a state machine whose effects a test decides on. It records its inputs.
+type scriptedController struct {
+	answer func(input controller.Input) controller.Effects // called in the loop's goroutine; nil: no effects
+	inputs chan controller.Input                           // all inputs but ticks
+	ticks  chan struct{}                                   // holds one token after one or more ticks
 }
 
-func newScripted(answer func(controller.Input) controller.Effects) *scripted {
-	return &scripted{answer: answer, told: make(chan controller.Input, 1000), ticks: make(chan struct{}, 1)}
+func newScriptedController(answer func(controller.Input) controller.Effects) *scriptedController {
+	return &scriptedController{answer: answer, inputs: make(chan controller.Input, 1000), ticks: make(chan struct{}, 1)}
 }
 
-func (s *scripted) Step(_ time.Duration, input controller.Input) controller.Effects {
+func (s *scriptedController) Step(_ time.Duration, input controller.Input) controller.Effects {
 	if _, isTick := input.(controller.Tick); isTick {
 		select {
 		case s.ticks <- struct{}{}:
 		default:
 		}
 	} else {
-		s.told <- input
+		s.inputs <- input
 	}
 	if s.answer == nil {
 		return controller.Effects{}
@@ -53,53 +53,53 @@
 	return s.answer(input)
 }
 
-// wait returns the next input of this kind that the controller was told.
-func wait[Input controller.Input](t *testing.T, s *scripted) Input {
+// waitForInput returns the next input of this type that the controller received.
+func waitForInput[Input controller.Input](t *testing.T, s *scriptedController) Input {
 	t.Helper()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(testTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case input := <-s.told:
-			if wanted, isIt := input.(Input); isIt {
+		case input := <-s.inputs:
+			if wanted, ok := input.(Input); ok {
 				return wanted
 			}
 		case <-timer.C:
 			var none Input
-			t.Fatalf("no %T came", none)
+			t.Fatalf("no input of type %T arrived", none)
 		}
 	}
 }
 
-// receive returns what comes through the channel.
+// receive returns the next value from the channel.
 func receive[T any](t *testing.T, channel <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-channel:
 		return value
-	case <-time.After(patience):
-		t.Fatalf("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatalf("no value arrived")
 	}
 	panic("not reached")
 }
 
-// memoryStore is a disk whose trouble a test decides on.
-type memoryStore struct {
-	mutex       sync.Mutex
-	applied     [][]replication.Write
-	applyError  error
-	reopenError error
-	found       quorum.Incarnation
-	stall       chan struct{} // while open, Apply waits for it
-	reopened    chan struct{}
-	applying    chan struct{}
+// fakeStore is a store in memory whose failures a test decides on.
+type fakeStore struct {
+	mutex            sync.Mutex
+	applied          [][]replication.Write
+	applyError       error
+	reopenError      error
+	foundIncarnation quorum.Incarnation
+	stall            chan struct{} // while open, Apply waits for it
+	reopened         chan struct{}
+	applying         chan struct{}
 }
 
-func newMemoryStore() *memoryStore {
-	return &memoryStore{found: ownIncarnation, reopened: make(chan struct{}, 100), applying: make(chan struct{}, 100)}
+func newFakeStore() *fakeStore {
+	return &fakeStore{foundIncarnation: ownIncarnation, reopened: make(chan struct{}, 100), applying: make(chan struct{}, 100)}
 }
 
-func (m *memoryStore) Apply(writes []replication.Write) error {
+func (m *fakeStore) Apply(writes []replication.Write) error {
 	m.applying <- struct{}{}
 	m.mutex.Lock()
 	stall, err := m.stall, m.applyError
@@ -116,21 +116,21 @@
 	return nil
 }
 
-func (m *memoryStore) Reopen() (replication.DurableState, error) {
+func (m *fakeStore) Reopen() (replication.DurableState, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.reopened <- struct{}{}
-	return replication.DurableState{Incarnation: m.found}, m.reopenError
+	return replication.DurableState{Incarnation: m.foundIncarnation}, m.reopenError
 }
 
-func (m *memoryStore) set(change func(*memoryStore)) {
+func (m *fakeStore) set(change func(*fakeStore)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	change(m)
 }
 
-// numbers of the writes that were applied, one list for each transaction.
-func (m *memoryStore) numbers() [][]uint64 {
+// numbers returns the numbers of the applied writes, one list for each transaction.
+func (m *fakeStore) numbers() [][]uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var transactions [][]uint64
@@ -144,27 +144,27 @@
 	return transactions
 }
 
-// rig is a loop around a scripted controller, with the front and a disk.
+// rig is a loop around a scripted controller, with the handlers and a disk writer.
 type rig struct {
-	controller *scripted
-	store      *memoryStore
+	controller *scriptedController
+	store      *fakeStore
 	loop       *loop
-	front      *front
-	internal   *processFront
+	handler    *controlHandler
+	internal   *internalHandler
 	url        string
 	address    string
 	sent       chan replication.Envelope
-	lost       chan error
+	canceled   chan error
 	counters   *counters
 	stop       func()
 }
 
-// rigOptions change what a rig is made of.
+// rigOptions configure a rig.
 type rigOptions struct {
-	answer   func(controller.Input) controller.Effects
-	limit    int // of the mailbox
-	held     bool
-	backstop time.Duration
+	answer      func(controller.Input) controller.Effects
+	limit       int // of the mailbox
+	withoutLoop bool
+	backstop    time.Duration
 }
 
 func newRig(t *testing.T, options rigOptions) *rig {
@@ -173,46 +173,46 @@
 		options.limit = mailboxLimit
 	}
 	if options.backstop == 0 {
-		options.backstop = patience
+		options.backstop = testTimeout
 	}
 	logger := quietLog()
 	counters := &counters{}
 	inbox := newMailbox(options.limit)
-	numbers := &callNumbers{}
+	ids := &callIDs{}
 	replies := newPending[controller.Reply]()
 	watches := newPending[feed.WatchAnswer]()
 	r := &rig{
-		controller: newScripted(options.answer),
-		store:      newMemoryStore(),
+		controller: newScriptedController(options.answer),
+		store:      newFakeStore(),
 		sent:       make(chan replication.Envelope, 1000),
-		lost:       make(chan error, 10),
+		canceled:   make(chan error, 10),
 		counters:   counters,
 	}
-	disk := newDiskWriter(r.store, ownIncarnation, inbox, logger, counters, func(cause error) { r.lost <- cause })
-	r.front = newFront(inbox, numbers, replies, counters)
-	r.front.backstop = options.backstop
-	r.internal = &processFront{inbox: inbox, numbers: numbers, watches: watches, counters: counters, backstop: options.backstop}
+	disk := newDiskWriter(r.store, ownIncarnation, inbox, logger, counters, func(cause error) { r.canceled <- cause })
+	r.handler = newControlHandler(inbox, ids, replies, counters)
+	r.handler.backstop = options.backstop
+	r.internal = &internalHandler{inbox: inbox, ids: ids, watches: watches, counters: counters, backstop: options.backstop}
 	r.loop = &loop{
-		controller: r.controller,
-		leads:      func() bool { return false },
-		inbox:      inbox,
-		disk:       disk,
-		outbox:     &outbox{send: func(envelope replication.Envelope) { r.sent <- envelope }},
-		replies:    replies,
-		watches:    watches,
-		probe:      func(failover.Probe) {},
-		call:       func(failover.PlatformCall, time.Time) {},
-		log:        logger,
-		counters:   counters,
-		counterLog: counterLog{counters: counters, log: logger, due: countersEvery},
-		started:    time.Now(),
+		controller:        r.controller,
+		isPrimary:         func() bool { return false },
+		inbox:             inbox,
+		disk:              disk,
+		outbox:            &outbox{send: func(envelope replication.Envelope) { r.sent <- envelope }},
+		replies:           replies,
+		watches:           watches,
+		startProbe:        func(failover.Probe) {},
+		startPlatformCall: func(failover.PlatformCall, time.Time) {},
+		log:               logger,
+		counters:          counters,
+		counterLog:        counterLog{counters: counters, log: logger, due: counterLogInterval},
+		started:           time.Now(),
 	}
-	r.run(t, options.held)
+	r.run(t, options.withoutLoop)
 	return r
 }
 
-// run starts everything; a held loop does not run.
-func (r *rig) run(t *testing.T, held bool) {
+// run starts everything, or everything but the loop.
+func (r *rig) run(t *testing.T, withoutLoop bool) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -220,12 +220,12 @@
 	}
 	r.address = listener.Addr().String()
 	r.url = "http://" + r.address
-	server := newHTTPServer(r.front, r.loop.log)
+	server := newHTTPServer(r.handler, r.loop.log)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { _ = server.Serve(listener) })
 	running.Go(r.loop.disk.run)
-	if !held {
+	if !withoutLoop {
 		running.Go(func() { r.loop.run(ctx) })
 	}
 	r.stop = sync.OnceFunc(func() {
@@ -243,19 +243,19 @@
 	return logger
 }
 
-// plainClient follows no redirects and keeps no connections.
+// plainClient returns a client that follows no redirects and keeps no connections.
 func plainClient(t *testing.T) *http.Client {
 	t.Helper()
 	transport := &http.Transport{DisableKeepAlives: true}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{
 		Transport:     transport,
-		Timeout:       patience,
+		Timeout:       testTimeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// answerOf a call: status, headers and body.
+// callAnswer is the answer to a call.
 type callAnswer struct {
 	status int
 	header http.Header
--- a/host/host.go
+++ b/host/host.go
@@ -1,8 +1,8 @@
-// Package host is the process around a controller: it carries bytes, files and timers, and decides nothing.
+// Package host runs a controller as a process: it does the network and disk I/O and the timers, and makes no decisions.
 //
-// One goroutine owns the controller and steps it. All else reaches it through one mailbox: callers over HTTP, other
-// processes of the system, a writer that owns the disk, probes of instances and calls to the platform. None of them
-// makes the owner wait, and a message that speaks of a write leaves only once that write is safe.
+// One goroutine owns the controller and steps it. Everything else reaches the controller through one mailbox: HTTP callers, other processes
+// of the system, the disk writer, probes of instances and calls to the platform. None of them blocks the owner, and a message that depends
+// on a write is sent only after that write is synced.
 package host
 
 import (
@@ -26,28 +26,28 @@
 	"eiderway/system/metrics"
 )
 
-// The order of an end: handOverShare of the grace for the controller, then answersWait for answers on their way, then
-// diskEndWait for the disk. With the shortest grace in use, some seconds, all of it fits.
+// Time limits of an orderly shutdown: handoverShare of the grace period for the controller to hand over, then callersTimeout for replies in
+// flight, then diskStopTimeout for the disk. All three fit into the shortest grace period in use, which is some seconds.
 const (
-	handOverShare = 0.8
-	answersWait   = 300 * time.Millisecond
-	diskEndWait   = 300 * time.Millisecond
+	handoverShare   = 0.8
+	callersTimeout  = 300 * time.Millisecond
+	diskStopTimeout = 300 * time.Millisecond
 )
 
-var errGraceOver = eris.New("host: the time to hand over is used up")
+var errGraceExpired = eris.New("host: the time to hand over is used up")
 
-// Options is what a controller's process is started with.
+// Options configure Run.
 type Options struct {
 	Settings  system.Settings
-	Reload    <-chan system.Settings // the settings file has changed; may be nil
+	Reload    <-chan system.Settings // new settings each time that the settings file changes; may be nil
 	Log       logrus.FieldLogger
-	Terminate <-chan struct{}      // closed when the process is asked to end in order; may be nil
-	Publish   func(metrics.Source) // serves the process's figures; nil: nobody reads them
+	Terminate <-chan struct{}      // closed when the process is asked to shut down in order; may be nil
+	Publish   func(metrics.Source) // exposes the metrics of the process; nil: they aren't exposed
 
-	AdminSocket string // path of the socket file for admin calls; "": none are taken
+	AdminSocket string // path of the Unix socket for admin calls; "": none are served
 }
 
-// Run runs a controller until it has ended in order after Options.Terminate, or the context ends.
+// Run runs a controller until it has shut down in order after Options.Terminate, or the context ends.
 func Run(ctx context.Context, options Options) error {
 	if !options.Settings.IsController() {
 		return eris.New("host: the settings don't name " + system.ServesControlPlane)
@@ -63,18 +63,18 @@
 	}
 	process := newProcess(ctx, options, opened, durable)
 	if options.Publish != nil {
-		options.Publish(process.figures)
+		options.Publish(process.samples)
 	}
 	if err := process.start(listeners); err != nil {
-		process.end()
+		process.shutdown()
 		return err
 	}
 	process.loop.run(process.ctx)
-	process.end()
-	return process.failure()
+	process.shutdown()
+	return process.exitError()
 }
 
-// process is all that a controller's process consists of.
+// process holds the parts of a controller's process.
 type process struct {
 	options  Options
 	store    *store.Store
@@ -82,17 +82,17 @@
 	counters *counters
 	disk     *diskWriter
 	prober   *prober
-	platform *platform
+	platform *platformClient
 	peers    *rpc.Peers
 	relay    *relay
 	loop     *loop
 	http     *http.Server
-	front    *front
-	internal processFront
-	server   *rpc.Server // of other processes of the system; set by start
+	control  *controlHandler
+	internal internalHandler
+	server   *rpc.Server // serves other processes of the system; set by start
 
 	parent     context.Context
-	ctx        context.Context // ends the loop and all that works for it
+	ctx        context.Context // ends the loop and everything that works for it
 	cancel     context.CancelCauseFunc
 	background sync.WaitGroup
 }
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithCancelCause(parent)
 	counters := &counters{}
 	inbox := newMailbox(mailboxLimit)
-	numbers := &callNumbers{}
+	ids := &callIDs{}
 	replies := newPending[controller.Reply]()
 	watches := newPending[feed.WatchAnswer]()
 	p := &process{options: options, store: opened, inbox: inbox, counters: counters, parent: parent, ctx: ctx, cancel: cancel}
@@ -109,15 +109,15 @@
 	p.disk = newDiskWriter(opened, durable.Incarnation, inbox, options.Log, counters, cancel)
 	p.peers = rpc.NewPeers(options.Settings.RPCAddress(), options.Settings.InternalRoutes, options.Log)
 	p.relay = newRelay(options.Settings.InternalRoutes)
-	p.front = newFront(inbox, numbers, replies, counters)
-	p.http = newHTTPServer(p.front, options.Log)
-	p.internal = processFront{inbox: inbox, numbers: numbers, watches: watches, counters: counters, backstop: watchBackstop, relay: p.relay.ask}
+	p.control = newControlHandler(inbox, ids, replies, counters)
+	p.http = newHTTPServer(p.control, options.Log)
+	p.internal = internalHandler{inbox: inbox, ids: ids, watches: watches, counters: counters, backstop: watchBackstop, relay: p.relay.forward}
 
 	started := time.Now()
-	decides := controller.New(time.Since(started), ControllerSettings(options.Settings), durable)
+	machine := controller.New(time.Since(started), ControllerSettings(options.Settings), durable)
 	p.loop = &loop{
-		controller: decides,
-		leads:      func() bool { return decides.Status().Role == replication.Primary },
+		controller: machine,
+		isPrimary:  func() bool { return machine.Status().Role == replication.Primary },
 		inbox:      inbox,
 		disk:       p.disk,
 		outbox:     &outbox{send: p.send},
@@ -125,59 +125,59 @@
 		watches:    watches,
 		log:        options.Log,
 		counters:   counters,
-		counterLog: counterLog{counters: counters, log: options.Log, due: countersEvery},
+		counterLog: counterLog{counters: counters, log: options.Log, due: counterLogInterval},
 		started:    started,
 	}
 	if options.Publish != nil {
-		p.loop.tell = decides.Status
+		p.loop.readStatus = machine.Status
 	}
-	p.prober = newProber(ctx, options.Settings.Name, p.loop.now, p.probed, counters)
-	p.platform = &platform{
+	p.prober = newProber(ctx, options.Settings.Name, p.loop.now, p.deliverProbeResult, counters)
+	p.platform = &platformClient{
 		address:  platformAddress(options.Settings),
-		deliver:  p.called,
+		deliver:  p.deliverPlatformResult,
 		counters: counters,
 		ctx:      ctx,
-		wait:     platformWait,
+		timeout:  platformCallTimeout,
 	}
-	p.loop.probe = p.prober.start
-	p.loop.call = p.platform.start
+	p.loop.startProbe = p.prober.start
+	p.loop.startPlatformCall = p.platform.start
 	return p
 }
 
 func (p *process) send(envelope replication.Envelope) { p.peers.Send(envelope.To, envelope.Message) }
 
-func (p *process) probed(result failover.ProbeResult) {
+func (p *process) deliverProbeResult(result failover.ProbeResult) {
 	p.inbox.post(controller.ProbeFinished{Result: result})
 }
 
-func (p *process) called(result failover.PlatformResult) {
+func (p *process) deliverPlatformResult(result failover.PlatformResult) {
 	p.inbox.post(controller.PlatformCallFinished{Result: result})
 }
 
-// start starts all that works beside the loop.
+// start starts everything but the loop.
 func (p *process) start(listeners listeners) error {
 	go p.disk.run()
 	limits := connectionLimitsOf(p.options.Settings.Limits.MaxFds)
-	p.server = rpc.Serve(p.limited(listeners.internal, limits.internal, 0), rpc.Handlers{
+	p.server = rpc.Serve(p.limitConnections(listeners.internal, limits.internal, 0), rpc.Handlers{
 		Message: p.internal.message,
 		Watch:   p.internal.watch,
 		Log:     p.options.Log,
 	})
 	p.background.Go(func() {
-		if err := p.http.Serve(p.limited(listeners.control, limits.control, limits.kept())); !errors.Is(err, http.ErrServerClosed) {
+		if err := p.http.Serve(p.limitConnections(listeners.control, limits.control, limits.maxKeptAlive())); !errors.Is(err, http.ErrServerClosed) {
 			p.cancel(eris.Wrap(err, "host: callers of the control plane"))
 		}
 	})
-	p.background.Go(p.followOrders)
-	return p.serveAdmin(p.front)
+	p.background.Go(p.watchLifecycle)
+	return p.serveAdmin(p.control)
 }
 
-func (p *process) limited(listener net.Listener, limit, keep int) net.Listener {
-	return &limitedListener{Listener: listener, limit: int64(limit), keep: int64(keep), refused: &p.counters.connectionsRefused}
+func (p *process) limitConnections(listener net.Listener, limit, maxKept int) net.Listener {
+	return &limitedListener{Listener: listener, limit: int64(limit), maxKept: int64(maxKept), refused: &p.counters.connectionsRefused}
 }
 
-// followOrders passes on what the platform wants of the process.
-func (p *process) followOrders() {
+// watchLifecycle passes requests to terminate and changed settings on to the controller.
+func (p *process) watchLifecycle() {
 	terminate := p.options.Terminate
 	reload := p.options.Reload
 	for {
@@ -187,8 +187,8 @@
 		case <-terminate:
 			terminate = nil
 			p.inbox.post(controller.Terminate{})
-			last := time.AfterFunc(p.lastMoment(), func() { p.cancel(errGraceOver) })
-			defer last.Stop()
+			deadline := time.AfterFunc(p.handoverTime(), func() { p.cancel(errGraceExpired) })
+			defer deadline.Stop()
 		case settings, open := <-reload:
 			if !open {
 				reload = nil
@@ -199,16 +199,16 @@
 	}
 }
 
-// lastMoment is how long after SIGTERM the controller may hand over.
-func (p *process) lastMoment() time.Duration {
-	return time.Duration(float64(p.options.Settings.Bounds.Grace()) * handOverShare)
+// handoverTime is how long the controller may take to hand over after SIGTERM.
+func (p *process) handoverTime() time.Duration {
+	return time.Duration(float64(p.options.Settings.Bounds.Grace()) * handoverShare)
 }
 
-// end closes everything, in an order in which nobody is left waiting: callers get their answers first, and the disk
-// finishes what it has.
-func (p *process) end() {
+// shutdown closes everything in an order that leaves nobody waiting: callers get their answers first, and the disk writer finishes its queue
+// last.
+func (p *process) shutdown() {
 	p.inbox.close()
-	closing, stop := context.WithTimeout(context.Background(), answersWait)
+	closing, stop := context.WithTimeout(context.Background(), callersTimeout)
 	defer stop()
 	if err := p.http.Shutdown(closing); err != nil {
 		_ = p.http.Close()
@@ -223,11 +223,10 @@
 	p.closeDisk()
 }
 
-// closeDisk waits for the disk as long as it may. Then the process ends all the same: what is not synced was not spoken
-// of.
+// closeDisk waits for the disk writer, at most diskStopTimeout. The process may end with writes unsynced: no message has told of them.
 func (p *process) closeDisk() {
 	p.disk.stop()
-	timer := time.NewTimer(diskEndWait)
+	timer := time.NewTimer(diskStopTimeout)
 	defer timer.Stop()
 	select {
 	case <-p.disk.ended:
@@ -239,10 +238,10 @@
 	}
 }
 
-// failure is why the process ended, if it was not asked to.
-func (p *process) failure() error {
+// exitError returns why the process ended; nil if it was asked to.
+func (p *process) exitError() error {
 	cause := context.Cause(p.ctx)
-	if p.parent.Err() != nil || errors.Is(cause, context.Canceled) || errors.Is(cause, errGraceOver) {
+	if p.parent.Err() != nil || errors.Is(cause, context.Canceled) || errors.Is(cause, errGraceExpired) {
 		return nil
 	}
 	return cause
--- a/host/loop.go
+++ b/host/loop.go
@@ -13,51 +13,51 @@
 	"eiderway/control/invariant"
 )
 
-// Time between ticks. Timing decisions of the controller are tens of milliseconds apart when it leads or has work under
-// way; a backup at rest only watches for silence, which takes hundreds. Each wake-up is paid for.
+// Time between ticks. Timing decisions of the controller are tens of milliseconds apart while it is primary or has work in progress; an idle
+// backup only detects silence, which takes hundreds. Each wake-up costs processor time.
 const (
-	tickWorking = 25 * time.Millisecond
-	tickResting = 50 * time.Millisecond
-	// statusEvery is between two looks at how the controller stands, where its figures are served.
-	statusEvery = time.Second
+	tickActive = 25 * time.Millisecond
+	tickIdle   = 50 * time.Millisecond
+	// statusInterval is the time between two readings of the controller's status, where metrics are exposed.
+	statusInterval = time.Second
 )
 
-// stepper is the state machine that decides.
-type stepper interface {
+// stateMachine is the controller, which makes all decisions.
+type stateMachine interface {
 	Step(now time.Duration, input controller.Input) controller.Effects
 }
 
-// loop owns the controller. Only its goroutine steps it, and nothing it does there waits for a socket or the disk.
+// loop owns the controller. Only its goroutine steps the controller, and it never waits for a socket or the disk.
 type loop struct {
-	controller stepper
-	leads      func() bool // whether the controller is primary
-	tell       func() controller.Status
-	status     atomic.Pointer[controller.Status] // at the last look; for others than the loop
-	statusDue  time.Duration
-	inbox      *mailbox
-	disk       *diskWriter
-	outbox     *outbox
-	replies    *pending[controller.Reply]
-	watches    *pending[feed.WatchAnswer]
-	probe      func(failover.Probe)                   // does not wait
-	call       func(failover.PlatformCall, time.Time) // does not wait; the time is from before the step that asked for it
-	log        logrus.FieldLogger
-	counters   *counters
-	counterLog counterLog
-	started    time.Time
-	mayEnd     bool
+	controller        stateMachine
+	isPrimary         func() bool
+	readStatus        func() controller.Status          // nil: the status is not exposed
+	status            atomic.Pointer[controller.Status] // as last read; for other goroutines
+	statusDue         time.Duration
+	inbox             *mailbox
+	disk              *diskWriter
+	outbox            *outbox
+	replies           *pending[controller.Reply]
+	watches           *pending[feed.WatchAnswer]
+	startProbe        func(failover.Probe)                   // does not block
+	startPlatformCall func(failover.PlatformCall, time.Time) // does not block; the time is from before the step that asked for the call
+	log               logrus.FieldLogger
+	counters          *counters
+	counterLog        counterLog
+	started           time.Time
+	canExit           bool
 }
 
-// now is the steady time of this process.
+// now returns the monotonic time since the start of the process.
 func (l *loop) now() time.Duration { return time.Since(l.started) }
 
-// run steps the controller until the context ends or the controller says that it may end.
+// run steps the controller until the context ends or the controller reports that it can exit.
 func (l *loop) run(ctx context.Context) {
-	timer := time.NewTimer(tickWorking)
+	timer := time.NewTimer(tickActive)
 	defer timer.Stop()
-	due := l.now() + tickWorking
+	due := l.now() + tickActive
 	var spare []controller.Input
-	for !l.mayEnd {
+	for !l.canExit {
 		fired := false
 		select {
 		case <-ctx.Done():
@@ -69,14 +69,14 @@
 		}
 		if fired || l.now() >= due {
 			l.tick()
-			pause := l.pause()
+			pause := l.tickInterval()
 			due = l.now() + pause
 			timer.Reset(pause)
 		}
 	}
 }
 
-// drain steps the controller with all that waits, and returns the emptied slice for use as the next spare one.
+// drain steps the controller with all inputs in the mailbox, and returns the emptied slice for use as the next spare one.
 func (l *loop) drain(spare []controller.Input) []controller.Input {
 	inputs := l.inbox.take(spare)
 	for index, input := range inputs {
@@ -89,24 +89,24 @@
 func (l *loop) tick() {
 	l.step(controller.Tick{})
 	l.counterLog.tick(l.now())
-	l.look(l.now())
+	l.updateStatus(l.now())
 }
 
-// look notes now and then how the controller stands, if anybody wants to know.
-func (l *loop) look(now time.Duration) {
-	if l.tell == nil || now < l.statusDue {
+// updateStatus reads the controller's status once in each statusInterval, if it is exposed.
+func (l *loop) updateStatus(now time.Duration) {
+	if l.readStatus == nil || now < l.statusDue {
 		return
 	}
-	l.statusDue = now + statusEvery
-	status := l.tell()
+	l.statusDue = now + statusInterval
+	status := l.readStatus()
 	l.status.Store(&status)
 }
 
-func (l *loop) pause() time.Duration {
-	if l.leads() || !l.disk.idle() || !l.replies.empty() || !l.watches.empty() {
-		return tickWorking
+func (l *loop) tickInterval() time.Duration {
+	if l.isPrimary() || !l.disk.isIdle() || !l.replies.empty() || !l.watches.empty() {
+		return tickActive
 	}
-	return tickResting
+	return tickIdle
 }
 
 func (l *loop) step(input controller.Input) {
@@ -115,37 +115,36 @@
 		l.outbox.persisted(ended.Write)
 	case controller.DiskFailed:
 		l.outbox.failed(ended.Write)
-		l.disk.failureTaken()
+		l.disk.acknowledgeFailure()
 	}
 	l.counters.steps.Add(1)
-	began := time.Now()
-	l.carryOut(began, l.controller.Step(began.Sub(l.started), input))
+	startedAt := time.Now()
+	l.apply(startedAt, l.controller.Step(startedAt.Sub(l.started), input))
 }
 
-// carryOut starts all that the controller wants, in the order of the effects. The step that brought them began at the
-// time given.
-func (l *loop) carryOut(began time.Time, effects controller.Effects) {
+// apply carries out the effects of a step that began at startedAt, in the order of the fields of controller.Effects.
+func (l *loop) apply(startedAt time.Time, effects controller.Effects) {
 	l.disk.enqueue(effects.Writes)
 	l.outbox.add(effects.Send)
 	for _, reply := range effects.Replies {
-		l.count(l.replies.finish(reply.Call, reply))
+		l.countReply(l.replies.finish(reply.Call, reply))
 	}
 	for _, reply := range effects.WatchReplies {
-		l.count(l.watches.finish(reply.Call, reply.Answer))
+		l.countReply(l.watches.finish(reply.Call, reply.Answer))
 	}
 	for _, probe := range effects.Probes {
-		l.probe(probe)
+		l.startProbe(probe)
 	}
 	for _, call := range effects.PlatformCalls {
-		l.call(call, began)
+		l.startPlatformCall(call, startedAt)
 	}
 	for _, event := range effects.Events {
-		l.note(event)
+		l.logEvent(event)
 	}
-	l.mayEnd = l.mayEnd || effects.CanExit
+	l.canExit = l.canExit || effects.CanExit
 }
 
-func (l *loop) note(event controller.Event) {
+func (l *loop) logEvent(event controller.Event) {
 	if event.What == invariant.Broken {
 		l.log.Error(event.What + ": " + event.Text)
 		return
@@ -153,7 +152,7 @@
 	l.log.Info(event.What + ": " + event.Text)
 }
 
-func (l *loop) count(wanted bool) {
+func (l *loop) countReply(wanted bool) {
 	if !wanted {
 		l.counters.lateReplies.Add(1)
 	}
--- a/host/loop_test.go
+++ b/host/loop_test.go
@@ -12,9 +12,9 @@
 	"eiderway/control/failover"
 )
 
-func TestLoopEndsWhenTheControllerMay(t *testing.T) {
+func TestLoopEndsWhenControllerCanExit(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, rigOptions{held: true, answer: func(input controller.Input) controller.Effects {
+	r := newRig(t, rigOptions{withoutLoop: true, answer: func(input controller.Input) controller.Effects {
 		_, asked := input.(controller.Terminate)
 		return controller.Effects{CanExit: asked}
 	}})
@@ -27,23 +27,23 @@
 	receive(t, r.controller.ticks)
 	r.loop.inbox.post(controller.Terminate{})
 	receive(t, ended)
-	is.True(r.loop.mayEnd)
+	is.True(r.loop.canExit)
 }
 
-func TestTicksAreRarerAtRest(t *testing.T) {
+func TestTicksAreRarerWhenIdle(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, rigOptions{held: true})
-	is.Equal(r.loop.pause(), tickResting)
-	call := r.front.numbers.next()
+	r := newRig(t, rigOptions{withoutLoop: true})
+	is.Equal(r.loop.tickInterval(), tickIdle)
+	call := r.handler.ids.next()
 	r.loop.replies.open(call)
-	is.Equal(r.loop.pause(), tickWorking)
+	is.Equal(r.loop.tickInterval(), tickActive)
 	r.loop.replies.drop(call)
-	is.Equal(r.loop.pause(), tickResting)
-	r.loop.leads = func() bool { return true }
-	is.Equal(r.loop.pause(), tickWorking)
+	is.Equal(r.loop.tickInterval(), tickIdle)
+	r.loop.isPrimary = func() bool { return true }
+	is.Equal(r.loop.tickInterval(), tickActive)
 }
 
-func TestCountersAreLoggedOnlyWhenTheyChanged(t *testing.T) {
+func TestCountersAreLoggedOnlyWhenChanged(t *testing.T) {
 	is := is.New(t)
 	logger, lines := test.NewNullLogger()
 	counters := &counters{}
@@ -52,33 +52,32 @@
 	is.Equal(len(lines.AllEntries()), 0) // nothing has happened
 	counters.orders.Add(2)
 	counters.steps.Add(9)
-	counterLog.tick(countersEvery - time.Millisecond)
+	counterLog.tick(counterLogInterval - time.Millisecond)
 	is.Equal(len(lines.AllEntries()), 0) // not due
-	counterLog.tick(countersEvery)
+	counterLog.tick(counterLogInterval)
 	is.Equal(lines.LastEntry().Data, logrus.Fields{"orders": uint64(2), "steps": uint64(9)})
 	counters.steps.Add(9)
-	counterLog.tick(2 * countersEvery)
+	counterLog.tick(2 * counterLogInterval)
 	is.Equal(len(lines.AllEntries()), 1)
 }
 
-// clocked notes when it was stepped, and wants a platform call.
-type clocked struct{ stepped time.Time }
+// clockedController records when it was stepped, and requests a platform call.
+type clockedController struct{ stepped time.Time }
 
-func (c *clocked) Step(time.Duration, controller.Input) controller.Effects {
+func (c *clockedController) Step(time.Duration, controller.Input) controller.Effects {
 	c.stepped = time.Now()
 	return controller.Effects{PlatformCalls: []failover.PlatformCall{{Number: 1}}}
 }
 
-// TestAgeOfACallCountsFromBeforeItsStep: a process that stood still during a step must not send the call of that step as
-// if it were new.
-func TestAgeOfACallCountsFromBeforeItsStep(t *testing.T) {
+// A process that was frozen during a step must not send the platform call of that step as if it were new.
+func TestPlatformCallAgeCountsFromBeforeItsStep(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, rigOptions{held: true})
-	decides := &clocked{}
-	r.loop.controller = decides
+	r := newRig(t, rigOptions{withoutLoop: true})
+	machine := &clockedController{}
+	r.loop.controller = machine
 	var asked time.Time
-	r.loop.call = func(_ failover.PlatformCall, at time.Time) { asked = at }
+	r.loop.startPlatformCall = func(_ failover.PlatformCall, at time.Time) { asked = at }
 	r.loop.step(controller.Tick{})
 	is.True(!asked.IsZero())
-	is.True(!asked.After(decides.stepped))
+	is.True(!asked.After(machine.stepped))
 }
--- a/host/mailbox.go
+++ b/host/mailbox.go
@@ -6,15 +6,15 @@
 	"eiderway/control/controller"
 )
 
-// mailboxLimit is how many inputs may wait for the controller before new questions from outside are turned away. At
-// some 20 microseconds a step this is about 20 ms of work on a whole core, and 100 ms on a fifth of one.
+// mailboxLimit is how many inputs may wait for the controller before new requests from outside are rejected. At some 20 microseconds a step
+// this is about 20 ms of work on a whole core, and 100 ms on a fifth of one.
 const mailboxLimit = 1024
 
-// mailbox is the only way to the controller. It never makes a sender wait.
+// mailbox queues the inputs of the controller, which takes inputs from nowhere else. It never blocks a sender.
 type mailbox struct {
 	limit int
 	ready chan struct{} // holds one token while inputs wait
-	ended chan struct{} // closed when nobody will take inputs any more
+	ended chan struct{} // closed when no more inputs will be taken
 
 	mutex  sync.Mutex
 	inputs []controller.Input
@@ -25,7 +25,7 @@
 	return &mailbox{limit: limit, ready: make(chan struct{}, 1), ended: make(chan struct{})}
 }
 
-// close turns away all that comes from now on, and tells those who wait for an answer.
+// close makes offer reject all further inputs, and notifies callers that wait for a reply.
 func (m *mailbox) close() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -33,7 +33,7 @@
 	close(m.ended)
 }
 
-// offer hands an input in that may be turned away: questions and messages from outside.
+// offer adds an input that may be rejected (a request or message from outside), and reports whether it was accepted.
 func (m *mailbox) offer(input controller.Input) bool {
 	m.mutex.Lock()
 	if m.closed || len(m.inputs) >= m.limit {
@@ -46,8 +46,8 @@
 	return true
 }
 
-// post hands an input in that must not be lost. The number of such inputs is bounded by the work that causes them: a
-// disk write, a probe, a call to the platform or an accepted question each ends once.
+// post adds an input that must not be lost, whatever the limit. The number of such inputs is bounded by the work that causes them: a disk
+// write, a probe, a call to the platform or an accepted request each ends once.
 func (m *mailbox) post(input controller.Input) {
 	m.mutex.Lock()
 	m.inputs = append(m.inputs, input)
@@ -55,7 +55,7 @@
 	m.signal()
 }
 
-// take returns all that waits, in order of arrival, and keeps the spare slice for what comes next.
+// take returns all queued inputs in order of arrival, and keeps the spare slice for the next ones.
 func (m *mailbox) take(spare []controller.Input) []controller.Input {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/host/measure_test.go
+++ b/host/measure_test.go
@@ -33,23 +33,23 @@
 	profilesIn = flag.String("profiles", "", "folder for processor profiles of the measured controllers")
 )
 
-// measuredSettings names, in the environment, the settings file of a controller that is measured in a process of its own.
+// measuredSettings is the environment variable that names the settings file of a controller that is measured in a separate process.
 const measuredSettings = "EIDERWAY_MEASURED"
 
-// Figures of the measurements.
+// Parameters of the measurements.
 const (
-	measuredBeat    = 1200 * time.Millisecond
-	measuredSettles = 7 * time.Second // waited before the first reading: news make probes frequent for some seconds
-	measuredFor     = 6 * time.Second
-	ordersEvery     = 100 * time.Millisecond
-	replicasEach    = 3        // instances of a service, the primary counted
-	memoryBound     = 64 << 20 // bytes, with 90 gateways at rest
-	// The runtime is set as the program sets it, for a machine of the smallest kind.
+	measuredBeat       = 1200 * time.Millisecond
+	measuredSettleTime = 7 * time.Second // wait before the first reading: changes make probes frequent for some seconds
+	measuredFor        = 6 * time.Second
+	ordersEvery        = 100 * time.Millisecond
+	replicasEach       = 3        // instances of a service, including the primary
+	memoryBound        = 64 << 20 // bytes, with 90 idle gateways
+	// Settings of the Go runtime, as the program sets them on the smallest machines.
 	measuredGarbage = 200
 	measuredMemory  = 184e6 * 6 / 10
 )
 
-// reading is what a controller's process says of itself.
+// reading is a snapshot of the resource use and the counters of a controller's process.
 type reading struct {
 	Processor  time.Duration // user and system time
 	Resident   int64         // bytes
@@ -63,7 +63,7 @@
 	Probes     uint64
 }
 
-// TestMeasuredController is the process of a measured controller. Without its settings there is nothing to do.
+// TestMeasuredController runs a controller in the child process of a measurement. It does nothing if measuredSettings is not set.
 func TestMeasuredController(t *testing.T) {
 	path := os.Getenv(measuredSettings)
 	if path == "" {
@@ -77,7 +77,7 @@
 	debug.SetGCPercent(measuredGarbage)
 	debug.SetMemoryLimit(measuredMemory)
 
-	options := Options{Settings: settings, Log: coreLog(settings.Name)}
+	options := Options{Settings: settings, Log: controllerLog(settings.Name)}
 	opened, durable, err := openStore(t.Context(), options)
 	is.New(t).NoErr(err)
 	listeners, err := openListeners(t.Context(), settings)
@@ -89,15 +89,15 @@
 		defer close(ended)
 		measured.loop.run(measured.ctx)
 	}()
-	measured.followOperator(t, os.Stdin)
+	measured.answerReadings(t, os.Stdin)
 	measured.cancel(nil)
 	<-ended
-	measured.end()
+	measured.shutdown()
 }
 
-// followOperator answers each line of the measuring test with a reading. A line that names a file begins a profile of
-// the processor, and the next line ends it and adds one of the memory. It returns when the lines are over.
-func (p *process) followOperator(t *testing.T, lines io.Reader) {
+// answerReadings answers each line of the parent test with a reading. A line that names a file starts a CPU profile, and the next line ends
+// it and writes a memory profile. It returns at the end of the input.
+func (p *process) answerReadings(t *testing.T, lines io.Reader) {
 	scanner := bufio.NewScanner(lines)
 	profile := ""
 	for scanner.Scan() {
@@ -126,10 +126,10 @@
 	is.New(t).NoErr(syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 	return reading{
 		Processor:  time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
-		Resident:   1024 * kernelFigure(t, "status", "VmRSS:"),
-		Peak:       1024 * kernelFigure(t, "status", "VmHWM:"),
-		Read:       kernelFigure(t, "io", "rchar:"),
-		Written:    kernelFigure(t, "io", "wchar:"),
+		Resident:   1024 * procValue(t, "status", "VmRSS:"),
+		Peak:       1024 * procValue(t, "status", "VmHWM:"),
+		Read:       procValue(t, "io", "rchar:"),
+		Written:    procValue(t, "io", "wchar:"),
 		DiskWrites: p.counters.diskWrites.Load(),
 		Steps:      p.counters.steps.Load(),
 		Watches:    p.counters.watches.Load(),
@@ -138,8 +138,8 @@
 	}
 }
 
-// kernelFigure reads one line of what the kernel says of this process.
-func kernelFigure(t *testing.T, file, name string) int64 {
+// procValue returns a value from a file in /proc/self.
+func procValue(t *testing.T, file, name string) int64 {
 	text, err := os.ReadFile("/proc/self/" + file)
 	is.New(t).NoErr(err)
 	_, rest, found := strings.Cut(string(text), name)
@@ -150,7 +150,7 @@
 	return value
 }
 
-// measuredProcess is a controller in a process of its own.
+// measuredProcess is a controller in a child process.
 type measuredProcess struct {
 	name   string
 	input  io.WriteCloser
@@ -182,7 +182,7 @@
 	return &measuredProcess{name: settings.Name, input: input, output: bufio.NewScanner(output)}
 }
 
-// read asks for a reading, and begins a profile if a file is named.
+// read requests a reading, and starts a profile if a file is named.
 func (m *measuredProcess) read(t *testing.T, profile string) reading {
 	t.Helper()
 	_, err := fmt.Fprintln(m.input, profile)
@@ -198,32 +198,32 @@
 	panic("not reached")
 }
 
-// measuredCase is a load on a core of three controllers.
+// measuredCase is a load on a cluster of three controllers.
 type measuredCase struct {
 	name     string
 	gateways int
 	services int // of three instances each
 	routes   int
-	storm    bool // a new configuration ten times a second
+	isStorm  bool // a new configuration ten times a second
 }
 
-// measuredCore is a core under load.
-type measuredCore struct {
-	*core
+// measuredCluster is a cluster under load.
+type measuredCluster struct {
+	*cluster
 	measuredCase
 	processes []*measuredProcess
-	instances []*instanceStandIn
+	instances []*fakeInstance
 	running   sync.WaitGroup
 	stop      context.CancelFunc
 	ctx       context.Context
 
 	mutex  sync.Mutex
-	tables map[string]feed.Table // of the gateways
+	tables map[string]feed.Table // latest table of each gateway, by its name
 }
 
-func newMeasuredCore(t *testing.T, load measuredCase) *measuredCore {
+func newMeasuredCluster(t *testing.T, load measuredCase) *measuredCluster {
 	t.Helper()
-	m := &measuredCore{core: newCore(t), measuredCase: load, tables: map[string]feed.Table{}}
+	m := &measuredCluster{cluster: newCluster(t), measuredCase: load, tables: map[string]feed.Table{}}
 	for index := range load.services * replicasEach {
 		m.instances = append(m.instances, newAnsweringInstance(t, index%replicasEach == 0))
 	}
@@ -236,7 +236,7 @@
 		m.stop()
 		m.running.Wait()
 	})
-	is.New(t).Equal(m.settle(0, "POST", "/config/replace", m.configuration(1)).status, 200)
+	is.New(t).Equal(m.askUntilAnswered(0, "POST", "/config/replace", m.configuration(1)).status, 200)
 	for index := range m.instances {
 		m.running.Go(func() { m.beat(index) })
 	}
@@ -247,7 +247,7 @@
 	return m
 }
 
-func (m *measuredCore) configuration(number int) string {
+func (m *measuredCluster) configuration(number int) string {
 	var routes, services []string
 	for index := range m.routes {
 		routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"host%d","pathPrefix":"/","routeClass":"primary","timeoutMs":1000,`+
@@ -261,8 +261,8 @@
 		number, strings.Join(routes, ","), strings.Join(services, ","))
 }
 
-// beat sends heartbeats of one instance, on one connection.
-func (m *measuredCore) beat(index int) {
+// beat sends the heartbeats of one instance over one connection.
+func (m *measuredCluster) beat(index int) {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 2 * time.Second}
@@ -271,26 +271,26 @@
 		role = "primary"
 	}
 	address := m.instances[index].listener.Addr().String()
-	control := m.settings[index%coreSize].Listen.Control
+	control := m.settings[index%clusterSize].Listen.Control
 	for sequence := 1; m.ctx.Err() == nil; sequence++ {
 		body := strings.Replace(beatText(address, role, sequence), `"targetService":"s"`, fmt.Sprintf(`"targetService":"s%d"`, index/replicasEach), 1)
 		response, err := client.Post(fmt.Sprintf("http://%s/instances/i-%d/heartbeat", control, index), "application/json", strings.NewReader(body))
 		if err == nil {
-			control = response.Request.URL.Host // where the redirect led
+			control = response.Request.URL.Host // the target of a redirect
 			_, _ = io.Copy(io.Discard, response.Body)
 			_ = response.Body.Close()
 		} else {
-			control = m.settings[sequence%coreSize].Listen.Control
+			control = m.settings[sequence%clusterSize].Listen.Control
 		}
 		sleep(m.ctx, measuredBeat)
 	}
 }
 
-// follow asks for tables as a gateway does.
-func (m *measuredCore) follow(name string) {
+// follow requests tables as a gateway does.
+func (m *measuredCluster) follow(name string) {
 	client := &rpc.Client{}
 	defer client.Close()
-	request := feed.WatchRequest{Gateway: name + "/1", Name: name, Wait: watchWait}
+	request := feed.WatchRequest{Gateway: name + "/1", Name: name, Wait: maxWatchWait}
 	target := m.settings[0].RPCAddress()
 	for try := 0; m.ctx.Err() == nil; try++ {
 		limited, cancel := context.WithTimeout(m.ctx, request.Wait+time.Second)
@@ -298,7 +298,7 @@
 		cancel()
 		switch {
 		case err != nil:
-			target = m.settings[try%coreSize].RPCAddress()
+			target = m.settings[try%clusterSize].RPCAddress()
 			sleep(m.ctx, 100*time.Millisecond)
 		case answer.NotPrimary:
 			if answer.Primary.Address != "" {
@@ -308,12 +308,12 @@
 		case answer.Table != nil:
 			request.Applied = answer.Table.Version
 			request.Configuration = answer.Table.ConfigurationNumber
-			m.keep(name, *answer.Table)
+			m.recordTable(name, *answer.Table)
 		}
 	}
 }
 
-func (m *measuredCore) keep(name string, table feed.Table) {
+func (m *measuredCluster) recordTable(name string, table feed.Table) {
 	table.Configuration = nil
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -321,16 +321,16 @@
 }
 
 // waitForTables waits until every gateway knows the leader of every service.
-func (m *measuredCore) waitForTables(t *testing.T) {
+func (m *measuredCluster) waitForTables(t *testing.T) {
 	t.Helper()
-	for deadline := time.Now().Add(corePatience); !m.tablesWhole(); time.Sleep(askAgain) {
+	for deadline := time.Now().Add(clusterTimeout); !m.areTablesComplete(); time.Sleep(retryInterval) {
 		if time.Now().After(deadline) {
 			t.Fatal("the gateways don't know all leaders")
 		}
 	}
 }
 
-func (m *measuredCore) tablesWhole() bool {
+func (m *measuredCluster) areTablesComplete() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, table := range m.tables {
@@ -346,8 +346,8 @@
 	return len(m.tables) == m.gateways
 }
 
-// read takes a reading of each controller.
-func (m *measuredCore) read(t *testing.T, profiled bool) []reading {
+// read requests a reading of each controller.
+func (m *measuredCluster) read(t *testing.T, profiled bool) []reading {
 	t.Helper()
 	var readings []reading
 	for _, process := range m.processes {
@@ -360,10 +360,10 @@
 	return readings
 }
 
-// storm sends a new configuration every 100 ms and returns how long the acknowledgements took.
-func (m *measuredCore) sendStorm(t *testing.T, lasting time.Duration) []time.Duration {
+// sendStorm sends a new configuration every 100 ms and returns how long each acknowledgement took.
+func (m *measuredCluster) sendStorm(t *testing.T, lasting time.Duration) []time.Duration {
 	t.Helper()
-	var taken []time.Duration
+	var durations []time.Duration
 	var mutex sync.Mutex
 	var open sync.WaitGroup
 	ticker := time.NewTicker(ordersEvery)
@@ -373,49 +373,49 @@
 		open.Go(func() {
 			body := m.configuration(number)
 			sent := time.Now()
-			answer := m.settle(number, "POST", "/config/replace", body)
+			answer := m.askUntilAnswered(number, "POST", "/config/replace", body)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if answer.status == http.StatusOK {
-				taken = append(taken, time.Since(sent))
+				durations = append(durations, time.Since(sent))
 			}
 		})
 	}
 	open.Wait()
-	return taken
+	return durations
 }
 
-// TestMeasureControllers measures controllers at rest and under a storm of configurations, each in its own process.
+// TestMeasureControllers measures controllers, each in its own process, while they are idle and under a storm of configurations.
 func TestMeasureControllers(t *testing.T) {
-	cases := []measuredCase{{name: "tiny", gateways: 2, services: 1, routes: 10, storm: true}}
-	lasting, settles := 300*time.Millisecond, time.Duration(0)
+	cases := []measuredCase{{name: "tiny", gateways: 2, services: 1, routes: 10, isStorm: true}}
+	lasting, settleTime := 300*time.Millisecond, time.Duration(0)
 	if *measureAll {
-		lasting, settles = measuredFor, measuredSettles
+		lasting, settleTime = measuredFor, measuredSettleTime
 		cases = []measuredCase{
 			{name: "rest", gateways: 8, services: 3, routes: 10},
 			{name: "rest", gateways: 8, services: 30, routes: 10},
 			{name: "rest", gateways: 90, services: 3, routes: 10},
 			{name: "rest", gateways: 90, services: 30, routes: 10},
 			{name: "rest", gateways: 90, services: 30, routes: 1000},
-			{name: "storm", gateways: 8, services: 3, routes: 10, storm: true},
-			{name: "storm", gateways: 8, services: 3, routes: 1000, storm: true},
-			{name: "storm", gateways: 90, services: 30, routes: 10, storm: true},
-			{name: "storm", gateways: 90, services: 30, routes: 1000, storm: true},
+			{name: "storm", gateways: 8, services: 3, routes: 10, isStorm: true},
+			{name: "storm", gateways: 8, services: 3, routes: 1000, isStorm: true},
+			{name: "storm", gateways: 90, services: 30, routes: 10, isStorm: true},
+			{name: "storm", gateways: 90, services: 30, routes: 1000, isStorm: true},
 		}
 	}
 	for _, one := range cases {
 		one.name = fmt.Sprintf("%s, %d gateways, %d instances, %d routes", one.name, one.gateways, one.services*replicasEach, one.routes)
-		t.Run(one.name, func(t *testing.T) { measureCase(t, one, settles, lasting) })
+		t.Run(one.name, func(t *testing.T) { measureCase(t, one, settleTime, lasting) })
 	}
 }
 
-func measureCase(t *testing.T, load measuredCase, settles, lasting time.Duration) {
-	m := newMeasuredCore(t, load)
-	time.Sleep(settles)
+func measureCase(t *testing.T, load measuredCase, settleTime, lasting time.Duration) {
+	m := newMeasuredCluster(t, load)
+	time.Sleep(settleTime)
 	before := m.read(t, true)
 	begin := time.Now()
 	var acknowledged []time.Duration
-	if load.storm {
+	if load.isStorm {
 		acknowledged = m.sendStorm(t, lasting)
 	} else {
 		time.Sleep(lasting)
@@ -424,12 +424,12 @@
 	after := m.read(t, false)
 	for index, process := range m.processes {
 		t.Logf("%s: %s", process.name, rateText(before[index], after[index], took))
-		if !load.storm && *measureAll {
-			is.New(t).True(after[index].DiskWrites == before[index].DiskWrites) // plain beats and watches stay in memory
+		if !load.isStorm && *measureAll {
+			is.New(t).True(after[index].DiskWrites == before[index].DiskWrites) // heartbeats and watches that change nothing stay in memory
 			is.New(t).True(after[index].Resident < memoryBound)
 		}
 	}
-	if load.storm {
+	if load.isStorm {
 		slices.Sort(acknowledged)
 		is.New(t).Equal(len(acknowledged), int(lasting/ordersEvery))
 		t.Logf("%d orders of %d bytes acknowledged: p50 %d ms, worst %d ms", len(acknowledged), len(m.configuration(1)),
--- a/host/outbox.go
+++ b/host/outbox.go
@@ -2,10 +2,10 @@
 
 import "eiderway/control/replication"
 
-// outbox keeps messages back until the write that they speak of is safe on disk. It belongs to the loop.
+// outbox holds messages back until the write that they depend on is synced to disk. Only the goroutine of the loop uses it.
 type outbox struct {
-	send   func(replication.Envelope) // does not wait
-	synced uint64                     // the highest write that is safe
+	send   func(replication.Envelope) // does not block
+	synced uint64                     // number of the last synced write
 	held   []replication.Envelope
 }
 
@@ -19,7 +19,7 @@
 	}
 }
 
-// persisted lets go of the messages that waited for this write or an earlier one.
+// persisted sends the messages that waited for this write or an earlier one.
 func (o *outbox) persisted(write uint64) {
 	o.synced = max(o.synced, write)
 	kept := o.held[:0]
@@ -33,8 +33,8 @@
 	o.held = o.dropTail(kept)
 }
 
-// failed drops the messages that speak of this write or a later one: none of these writes took place, though a later
-// write will get a higher number.
+// failed drops the messages that depend on this write or a later one: none of these writes took place. Writes that are issued afterwards
+// get higher numbers.
 func (o *outbox) failed(write uint64) {
 	kept := o.held[:0]
 	for _, envelope := range o.held {
@@ -45,7 +45,7 @@
 	o.held = o.dropTail(kept)
 }
 
-// dropTail forgets what stands behind the kept messages, so that their memory can be used again.
+// dropTail clears the entries after the kept messages, so that their memory can be reclaimed.
 func (o *outbox) dropTail(kept []replication.Envelope) []replication.Envelope {
 	clear(o.held[len(kept):])
 	return kept
--- a/host/pending.go
+++ b/host/pending.go
@@ -7,12 +7,12 @@
 	"eiderway/control/controller"
 )
 
-// callNumbers hands out the numbers of questions, of all kinds in one row.
-type callNumbers struct{ last atomic.Uint64 }
+// callIDs issues call IDs, in one sequence for calls of all kinds.
+type callIDs struct{ last atomic.Uint64 }
 
-func (n *callNumbers) next() controller.CallID { return controller.CallID(n.last.Add(1)) }
+func (n *callIDs) next() controller.CallID { return controller.CallID(n.last.Add(1)) }
 
-// pending holds the questions of one kind that are not answered yet. An answer without an open question is dropped.
+// pending holds the unanswered calls of one kind. An answer without an open call is dropped.
 type pending[Answer any] struct {
 	mutex   sync.Mutex
 	waiting map[controller.CallID]chan Answer
@@ -22,7 +22,7 @@
 	return &pending[Answer]{waiting: make(map[controller.CallID]chan Answer)}
 }
 
-// open starts a question. Its answer comes through the channel, which never holds the sender up.
+// open registers a call. Its answer comes through the channel, which is buffered so that finish never blocks.
 func (p *pending[Answer]) open(call controller.CallID) <-chan Answer {
 	answers := make(chan Answer, 1)
 	p.mutex.Lock()
@@ -31,7 +31,7 @@
 	return answers
 }
 
-// finish hands the answer over, and tells whether somebody waited for it.
+// finish delivers the answer, and reports whether the call was still open.
 func (p *pending[Answer]) finish(call controller.CallID, answer Answer) bool {
 	p.mutex.Lock()
 	answers, found := p.waiting[call]
@@ -43,8 +43,7 @@
 	return found
 }
 
-// drop ends a question without an answer, and tells whether it was still open. If not, its answer is in the channel or
-// about to be.
+// drop ends a call without an answer, and reports whether it was still open. If not, its answer is in the channel or about to be.
 func (p *pending[Answer]) drop(call controller.CallID) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/host/platform.go
+++ b/host/platform.go
@@ -17,22 +17,21 @@
 )
 
 const (
-	// platformDial is how long a connection to the platform may take: nothing is sent before it stands, so giving up is
-	// free.
-	platformDial = time.Second
-	// platformWait is how long the whole call may take. The platform may be slow, and what it does shows in the terms of
-	// the instances, so waiting longer gains nothing.
-	platformWait = 2500 * time.Millisecond
-	// platformFresh is how old a call may be when it is written, and when its writing ends. A process that stood still
-	// after it dialled must not send a call that it decided on long ago: where fences aren't checked, failovers count on
-	// none being sent so late. It leaves room for the slowest dial, and is a small part of failover.Settings.MaxCallDelay.
-	platformFresh = platformDial + 500*time.Millisecond
+	// platformDialTimeout bounds the dial. Nothing has been sent before the connection is established, so giving up then is free.
+	platformDialTimeout = time.Second
+	// platformCallTimeout bounds the whole call. The platform may be slow, and its effect shows in the terms of the instances, so waiting
+	// longer gains nothing.
+	platformCallTimeout = 2500 * time.Millisecond
+	// maxPlatformCallAge is how old a call may be when its writing begins and ends. A process that was frozen after the dial must not send a
+	// call that it decided on long ago: where the platform doesn't check fences, failovers rely on no call being sent that late. It leaves
+	// room for the slowest dial, and is a small part of failover.Settings.MaxCallDelay.
+	maxPlatformCallAge = platformDialTimeout + 500*time.Millisecond
 )
 
-// errStaleCall says that a call was too old to be written.
+// errStaleCall is returned for a call that is older than maxPlatformCallAge.
 var errStaleCall = eris.New("host: the call is too old to be sent")
 
-// Headers of a call that is a duty.
+// Headers of calls that count as a duty: its holder and the fencing token.
 const (
 	headerHolder = "X-Eiderway-Duty-Holder"
 	headerFence  = "X-Eiderway-Fence-Token"
@@ -44,30 +43,29 @@
 	InstanceID    string `json:"instanceId"`
 }
 
-// platform makes calls to the platform. Each goes out once, on a connection of its own, without a library between that
-// might send it again.
-type platform struct {
+// platformClient makes calls to the platform. Each is sent once, on its own connection, and not through http.Client, which might resend it.
+type platformClient struct {
 	address  string // "": this process has no platform to call
 	deliver  func(failover.PlatformResult)
 	counters *counters
 	ctx      context.Context
-	wait     time.Duration                           // platformWait
+	timeout  time.Duration                           // platformCallTimeout
 	connect  func(context.Context) (net.Conn, error) // nil: dial
 	calls    sync.WaitGroup
 }
 
-// start makes a call in the background that was asked for at this time. Its age counts from then.
-func (p *platform) start(call failover.PlatformCall, asked time.Time) {
+// start makes a call in the background. Its age counts from requestedAt.
+func (p *platformClient) start(call failover.PlatformCall, requestedAt time.Time) {
 	p.counters.platformCalls.Add(1)
 	p.calls.Add(1)
 	go func() {
 		defer p.calls.Done()
-		p.deliver(p.make(call, asked))
+		p.deliver(p.execute(call, requestedAt))
 	}()
 }
 
-func (p *platform) make(call failover.PlatformCall, asked time.Time) failover.PlatformResult {
-	ctx, cancel := context.WithTimeout(p.ctx, p.wait)
+func (p *platformClient) execute(call failover.PlatformCall, requestedAt time.Time) failover.PlatformResult {
+	ctx, cancel := context.WithTimeout(p.ctx, p.timeout)
 	defer cancel()
 	result := failover.PlatformResult{Number: call.Number, Outcome: failover.NotSent}
 	request, err := p.request(call)
@@ -81,48 +79,47 @@
 	defer connection.Close()
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
-	sent, err := send(connection, request, asked)
+	sent, err := send(connection, request, requestedAt)
 	if !sent {
 		return result
 	}
 	if err == nil {
-		result.Code, err = readStatus(connection, request)
+		result.Code, err = readStatusCode(connection, request)
 	}
 	result.Outcome = outcomeOf(result.Code, err)
 	return result
 }
 
-func (p *platform) connection(ctx context.Context) (net.Conn, error) {
+func (p *platformClient) connection(ctx context.Context) (net.Conn, error) {
 	if p.connect != nil {
 		return p.connect(ctx)
 	}
 	return p.dial(ctx)
 }
 
-func (p *platform) dial(ctx context.Context) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: platformDial, Control: setUnsentTimeout, KeepAliveConfig: keepAlive}
+func (p *platformClient) dial(ctx context.Context) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: platformDialTimeout, Control: setUnackedTimeout, KeepAliveConfig: keepAlive}
 	return dialer.DialContext(ctx, "tcp4", p.address)
 }
 
-// send writes the call unless it is too old by then, and tells whether any byte of it may have gone out. The age is read
-// when nothing but the write is left to do.
-func send(connection net.Conn, request *http.Request, asked time.Time) (sent bool, err error) {
+// send writes the call unless it is too old, and reports whether any byte of it may have been sent. It checks the age right before the write.
+func send(connection net.Conn, request *http.Request, requestedAt time.Time) (sent bool, err error) {
 	var message bytes.Buffer
 	if err := request.Write(&message); err != nil {
 		return false, err
 	}
-	if err := connection.SetWriteDeadline(asked.Add(platformFresh)); err != nil {
+	if err := connection.SetWriteDeadline(requestedAt.Add(maxPlatformCallAge)); err != nil {
 		return false, err
 	}
-	if age := time.Since(asked); age > platformFresh {
+	if age := time.Since(requestedAt); age > maxPlatformCallAge {
 		return false, errStaleCall
 	}
 	written, err := connection.Write(message.Bytes())
 	return written > 0, err
 }
 
-// readStatus returns the status of the final answer.
-func readStatus(connection net.Conn, request *http.Request) (int, error) {
+// readStatusCode returns the status code of the final response and skips interim ones.
+func readStatusCode(connection net.Conn, request *http.Request) (int, error) {
 	reader := bufio.NewReader(connection)
 	for {
 		response, err := http.ReadResponse(reader, request)
@@ -136,7 +133,7 @@
 	}
 }
 
-func (p *platform) request(call failover.PlatformCall) (*http.Request, error) {
+func (p *platformClient) request(call failover.PlatformCall) (*http.Request, error) {
 	body, err := json.Marshal(failoverBody{TargetService: call.Service, InstanceID: call.InstanceID})
 	if err != nil {
 		return nil, err
@@ -152,7 +149,7 @@
 	return request, nil
 }
 
-// outcomeOf a call of which something was sent: anything but a clear answer leaves open what was done.
+// outcomeOf returns the outcome of a call of which something was sent: anything but a success or a client error leaves it unknown.
 func outcomeOf(code int, err error) failover.PlatformOutcome {
 	switch {
 	case err != nil:
--- a/host/probefailure.go
+++ b/host/probefailure.go
@@ -8,17 +8,17 @@
 	"eiderway/wire"
 )
 
-// probeFailure is a probe that got no status.
+// probeFailure is the outcome of a probe that got no status.
 type probeFailure struct {
-	answer failover.ProbeAnswer
-	sound  bool // the instance answered, so the connection can take another question
+	answer       failover.ProbeAnswer
+	isConnUsable bool // the instance answered, so the connection can take another query
 }
 
-// failureOf tells what an error shows of the instance. The context is the one that bounded the call.
-func failureOf(ctx context.Context, err error) *probeFailure {
+// classifyFailure derives the outcome of a probe from its error. ctx is the context that bounded the call.
+func classifyFailure(ctx context.Context, err error) *probeFailure {
 	var refusal *wire.RefusedError
 	if errors.As(err, &refusal) {
-		return &probeFailure{answer: answerOfRefusal(refusal.Code), sound: true}
+		return &probeFailure{answer: classifyRefusal(refusal.Code), isConnUsable: true}
 	}
 	var failure *wire.ConnError
 	timedOut := ctx.Err() != nil || !errors.As(err, &failure) || failure.Timeout
@@ -28,13 +28,13 @@
 	return &probeFailure{answer: failover.Silent}
 }
 
-// answerOfRefusal tells what an ERROR shows of the instance.
-func answerOfRefusal(code wire.Code) failover.ProbeAnswer {
+// classifyRefusal derives the outcome of a probe from the code of an ERROR answer.
+func classifyRefusal(code wire.Code) failover.ProbeAnswer {
 	switch code {
 	case wire.WrongNode, wire.NoDB:
-		return failover.Refused // another instance is there
+		return failover.Refused // another instance has this address
 	case wire.ExecFail, wire.Timeout, wire.InDoubt:
-		return failover.Silent // it may have been carried out
+		return failover.Silent // the command may have been executed
 	}
-	return failover.Busy // the instance is there and has done nothing
+	return failover.Busy // the instance is up and has executed nothing
 }
--- a/host/prober.go
+++ b/host/prober.go
@@ -10,64 +10,64 @@
 )
 
 const (
-	// probeDial bounds the opening of a connection to an instance: a healthy one answers within tens of milliseconds.
-	probeDial = 400 * time.Millisecond
-	// probeWait bounds the answer to a question: longer than a busy instance needs, short against the silence after which a
-	// leader is suspected.
-	probeWait = 600 * time.Millisecond
-	// probeIdle is how long a connection is kept for the next probe: new connections are paid for and take a slot, and
-	// kept ones take one of the instance's connections.
-	probeIdle = 30 * time.Second
-	// probesWaiting bounds the probes that wait for the one before them at the same instance.
-	probesWaiting = 16
+	// probeDialTimeout bounds the dial and the greeting: a healthy instance answers within tens of milliseconds.
+	probeDialTimeout = 400 * time.Millisecond
+	// probeAnswerTimeout bounds the wait for an answer: longer than a busy instance needs, and short against the silence after which a leader
+	// is suspected.
+	probeAnswerTimeout = 600 * time.Millisecond
+	// probeIdleTimeout is how long a connection is kept for the next probe. A new connection costs time and a slot, but a kept one occupies
+	// one of the instance's connections.
+	probeIdleTimeout = 30 * time.Second
+	// maxQueuedProbes bounds the probes that wait for an earlier one of the same instance.
+	maxQueuedProbes = 16
 )
 
-// probeWaits are the bounds of a prober's waits.
-type probeWaits struct{ dial, answer, idle time.Duration }
+// probeTimeouts are the timeouts of a prober.
+type probeTimeouts struct{ dial, answer, idle time.Duration }
 
-// probeTarget is an instance as a probe names it. Another address, or another service, is another target.
+// probeTarget identifies an instance as a probe names it. The same instance with another address or service is another target.
 type probeTarget struct{ service, instanceID, address string }
 
-// prober carries probes out: one at a time for each instance, over a connection that is kept.
+// prober runs probes, one at a time for each instance, over a connection that is kept between them.
 type prober struct {
-	who      string // named to instances
-	now      func() time.Duration
-	deliver  func(failover.ProbeResult)
-	counters *counters
-	ctx      context.Context
-	waits    probeWaits
-	running  sync.WaitGroup
-
-	mutex   sync.Mutex
-	targets map[probeTarget]*probedInstance
-	resting int // targets whose connection is kept for the next probe
+	clientName string // how the prober introduces itself to instances
+	now        func() time.Duration
+	deliver    func(failover.ProbeResult)
+	counters   *counters
+	ctx        context.Context
+	timeouts   probeTimeouts
+	running    sync.WaitGroup
+
+	mutex     sync.Mutex
+	targets   map[probeTarget]*probedInstance
+	idleConns int // number of targets with an idle connection
 }
 
-// kept is how many connections rest. It is called with the lock held.
-func (p *prober) kept() int { return p.resting }
+// idleCount returns the number of idle connections. The caller holds the mutex.
+func (p *prober) idleCount() int { return p.idleConns }
 
-// probedInstance is what the prober keeps of one instance.
+// probedInstance is the state that the prober keeps for one target.
 type probedInstance struct {
 	queue      []failover.Probe
-	busy       bool // a goroutine works on the queue and owns the connection
+	isWorking  bool // a goroutine processes the queue and owns the connection
 	connection *wire.Conn
-	rest       *time.Timer // closes the connection after probeIdle
+	idleTimer  *time.Timer // closes the connection after timeouts.idle
 }
 
-// newProber makes a prober that ends with the context.
-func newProber(ctx context.Context, who string, now func() time.Duration, deliver func(failover.ProbeResult), counters *counters) *prober {
+// newProber returns a prober whose probes end with the context.
+func newProber(ctx context.Context, clientName string, now func() time.Duration, deliver func(failover.ProbeResult), counters *counters) *prober {
 	return &prober{
-		who:      who,
-		now:      now,
-		deliver:  deliver,
-		counters: counters,
-		ctx:      ctx,
-		waits:    probeWaits{dial: probeDial, answer: probeWait, idle: probeIdle},
-		targets:  make(map[probeTarget]*probedInstance),
+		clientName: clientName,
+		now:        now,
+		deliver:    deliver,
+		counters:   counters,
+		ctx:        ctx,
+		timeouts:   probeTimeouts{dial: probeDialTimeout, answer: probeAnswerTimeout, idle: probeIdleTimeout},
+		targets:    make(map[probeTarget]*probedInstance),
 	}
 }
 
-// start carries a probe out in the background.
+// start runs a probe in the background.
 func (p *prober) start(probe failover.Probe) {
 	p.counters.probes.Add(1)
 	target := probeTarget{service: probe.Service, instanceID: probe.InstanceID, address: probe.Address}
@@ -76,7 +76,7 @@
 	}
 }
 
-// enqueue adds the probe to those of its instance, and tells whether there was room.
+// enqueue adds the probe to the queue of its target, and reports whether there was room.
 func (p *prober) enqueue(target probeTarget, probe failover.Probe) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -85,35 +85,35 @@
 		instance = &probedInstance{}
 		p.targets[target] = instance
 	}
-	if len(instance.queue) >= probesWaiting {
+	if len(instance.queue) >= maxQueuedProbes {
 		return false
 	}
 	instance.queue = append(instance.queue, probe)
-	if !instance.busy {
-		instance.busy = true
+	if !instance.isWorking {
+		instance.isWorking = true
 		if found {
-			p.resting--
+			p.idleConns--
 		}
-		instance.stopRest()
+		instance.stopIdleTimer()
 		p.running.Add(1)
-		go p.work(target, instance)
+		go p.processQueue(target, instance)
 	}
 	return true
 }
 
-// work carries out the probes of one instance until none waits.
-func (p *prober) work(target probeTarget, instance *probedInstance) {
+// processQueue runs the probes of one target until its queue is empty.
+func (p *prober) processQueue(target probeTarget, instance *probedInstance) {
 	defer p.running.Done()
 	for {
 		probe, found := p.next(target, instance)
 		if !found {
 			return
 		}
-		p.deliver(p.ask(instance, probe))
+		p.deliver(p.run(instance, probe))
 	}
 }
 
-// next takes the next probe. Without one the connection is left to rest.
+// next takes the next probe. If there is none, it keeps the connection as idle.
 func (p *prober) next(target probeTarget, instance *probedInstance) (failover.Probe, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -122,40 +122,40 @@
 		instance.queue = instance.queue[1:]
 		return probe, true
 	}
-	instance.busy = false
-	if instance.connection != nil && p.kept() >= probesKept {
-		instance.connection.Close() // those that are kept already go on being of use
+	instance.isWorking = false
+	if instance.connection != nil && p.idleCount() >= maxIdleProbeConns {
+		instance.connection.Close() // the connections that are idle already stay
 		instance.connection = nil
 	}
 	if instance.connection == nil {
 		delete(p.targets, target)
 		return failover.Probe{}, false
 	}
-	p.resting++
-	instance.rest = time.AfterFunc(p.waits.idle, func() { p.forget(target, instance) })
+	p.idleConns++
+	instance.idleTimer = time.AfterFunc(p.timeouts.idle, func() { p.closeIdle(target, instance) })
 	return failover.Probe{}, false
 }
 
-// forget closes a connection that has rested too long.
-func (p *prober) forget(target probeTarget, instance *probedInstance) {
+// closeIdle closes a connection that has been idle for too long.
+func (p *prober) closeIdle(target probeTarget, instance *probedInstance) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if instance.busy || p.targets[target] != instance {
+	if instance.isWorking || p.targets[target] != instance {
 		return
 	}
-	p.resting--
+	p.idleConns--
 	instance.connection.Close()
 	delete(p.targets, target)
 }
 
-func (i *probedInstance) stopRest() {
-	if i.rest != nil {
-		i.rest.Stop()
+func (i *probedInstance) stopIdleTimer() {
+	if i.idleTimer != nil {
+		i.idleTimer.Stop()
 	}
 }
 
-// ask carries one probe out. A connection that failed, or whose answer may still come, is never used again.
-func (p *prober) ask(instance *probedInstance, probe failover.Probe) failover.ProbeResult {
+// run runs one probe. A connection that failed, or on which a late answer may still arrive, is never reused.
+func (p *prober) run(instance *probedInstance, probe failover.Probe) failover.ProbeResult {
 	result := failover.ProbeResult{Number: probe.Number, Started: p.now()}
 	if instance.connection == nil || !instance.connection.IsUsable() {
 		instance.connection = nil
@@ -167,10 +167,10 @@
 		instance.connection = connection
 	}
 	result.Started = p.now()
-	status, err := p.question(instance.connection, probe)
+	status, err := p.query(instance.connection, probe)
 	if err != nil {
 		result.Answer = err.answer
-		if !err.sound {
+		if !err.isConnUsable {
 			instance.connection.Close()
 			instance.connection = nil
 		}
@@ -181,27 +181,27 @@
 }
 
 func (p *prober) dial(probe failover.Probe) (*wire.Conn, *probeFailure) {
-	ctx, cancel := context.WithTimeout(p.ctx, p.waits.dial)
+	ctx, cancel := context.WithTimeout(p.ctx, p.timeouts.dial)
 	defer cancel()
-	connection, err := wire.Dial(ctx, probe.Address, probe.Service, p.who, probe.InstanceID)
+	connection, err := wire.Dial(ctx, probe.Address, probe.Service, p.clientName, probe.InstanceID)
 	if err != nil {
-		return nil, failureOf(ctx, err)
+		return nil, classifyFailure(ctx, err)
 	}
 	return connection, nil
 }
 
-func (p *prober) question(connection *wire.Conn, probe failover.Probe) (failover.Status, *probeFailure) {
-	ctx, cancel := context.WithTimeout(p.ctx, p.waits.answer)
+func (p *prober) query(connection *wire.Conn, probe failover.Probe) (failover.Status, *probeFailure) {
+	ctx, cancel := context.WithTimeout(p.ctx, p.timeouts.answer)
 	defer cancel()
-	status, err := questionOf(probe)(connection, ctx)
+	status, err := queryFor(probe)(connection, ctx)
 	if err != nil {
-		return failover.Status{}, failureOf(ctx, err)
+		return failover.Status{}, classifyFailure(ctx, err)
 	}
 	return status, nil
 }
 
-// questionOf returns the call that asks what the probe asks.
-func questionOf(probe failover.Probe) func(*wire.Conn, context.Context) (failover.Status, error) {
+// queryFor returns the method of wire.Conn that sends a probe of this kind.
+func queryFor(probe failover.Probe) func(*wire.Conn, context.Context) (failover.Status, error) {
 	switch probe.Kind {
 	case failover.AskPause:
 		return func(connection *wire.Conn, ctx context.Context) (failover.Status, error) {
@@ -217,13 +217,13 @@
 	return (*wire.Conn).Status
 }
 
-// close waits for what is under way, which ends with the context, and closes the kept connections.
+// close waits for the probes in progress, which end with the context, and closes the idle connections.
 func (p *prober) close() {
 	p.running.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for target, instance := range p.targets {
-		instance.stopRest()
+		instance.stopIdleTimer()
 		if instance.connection != nil {
 			instance.connection.Close()
 		}
--- a/host/prober_test.go
+++ b/host/prober_test.go
@@ -14,36 +14,36 @@
 	"eiderway/wire"
 )
 
-// instanceStandIn is an instance that answers each question as the test wants.
-type instanceStandIn struct {
+// fakeInstance is an instance that answers each query as the test wants.
+type fakeInstance struct {
 	listener net.Listener
 	greeting string
-	asked    chan askedQuestion
+	queries  chan receivedQuery
 	ended    chan struct{} // one token for each connection that has ended
 	running  sync.WaitGroup
 }
 
-// askedQuestion is one question that came, with the connection to answer on.
-type askedQuestion struct {
+// receivedQuery is a query that arrived, with the connection to answer on.
+type receivedQuery struct {
 	text       string
 	connection net.Conn
 }
 
-func (q askedQuestion) answer(text string) { _, _ = q.connection.Write([]byte(text)) }
+func (q receivedQuery) answer(text string) { _, _ = q.connection.Write([]byte(text)) }
 
 func rowOf(number uint64) string {
 	status := failover.Status{Term: 3, Received: failover.Position{Term: 3, Number: number}, TermHeld: 3}
 	return "ROW " + wire.FormatStatus(status) + "\r\nCOMPLETE -\r\nREADY I 3.1\r\n"
 }
 
-func newInstanceStandIn(t *testing.T, greeting string) *instanceStandIn {
+func newFakeInstance(t *testing.T, greeting string) *fakeInstance {
 	t.Helper()
-	stand := &instanceStandIn{greeting: greeting, asked: make(chan askedQuestion, 10), ended: make(chan struct{}, 100)}
-	stand.listener = serveConnections(t, &stand.running, stand.serve)
-	return stand
+	fake := &fakeInstance{greeting: greeting, queries: make(chan receivedQuery, 10), ended: make(chan struct{}, 100)}
+	fake.listener = serveConnections(t, &fake.running, fake.serve)
+	return fake
 }
 
-// serveConnections listens, and serves each connection by itself until the test ends.
+// serveConnections listens, and serves each connection in its own goroutine until the test ends.
 func serveConnections(t *testing.T, running *sync.WaitGroup, serve func(net.Conn)) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -66,28 +66,28 @@
 	return listener
 }
 
-// newAnsweringInstance is an instance that answers every question with the same row, as the primary of its service or not.
-func newAnsweringInstance(t *testing.T, primary bool) *instanceStandIn {
+// newAnsweringInstance returns an instance that answers every query with the same status, as the primary of its service or not.
+func newAnsweringInstance(t *testing.T, primary bool) *fakeInstance {
 	t.Helper()
-	stand := newInstanceStandIn(t, ready)
+	fake := newFakeInstance(t, ready)
 	status := failover.Status{Primary: primary, Term: 3, Received: failover.Position{Term: 3, Number: 9}, TermHeld: 3}
 	row := "ROW " + wire.FormatStatus(status) + "\r\nCOMPLETE -\r\n" + ready
 	ctx, cancel := context.WithCancel(context.Background())
-	stand.running.Go(func() {
+	fake.running.Go(func() {
 		for {
 			select {
-			case question := <-stand.asked:
-				question.answer(row)
+			case query := <-fake.queries:
+				query.answer(row)
 			case <-ctx.Done():
 				return
 			}
 		}
 	})
 	t.Cleanup(cancel)
-	return stand
+	return fake
 }
 
-func (s *instanceStandIn) serve(connection net.Conn) {
+func (s *fakeInstance) serve(connection net.Conn) {
 	defer func() { s.ended <- struct{}{} }()
 	defer connection.Close()
 	reader := wire.NewReader(connection)
@@ -100,52 +100,52 @@
 		if err != nil {
 			return
 		}
-		s.asked <- askedQuestion{text: line, connection: connection}
+		s.queries <- receivedQuery{text: line, connection: connection}
 	}
 }
 
-func (s *instanceStandIn) probe(number uint64, kind failover.ProbeKind) failover.Probe {
+func (s *fakeInstance) probe(number uint64, kind failover.ProbeKind) failover.Probe {
 	return failover.Probe{Number: number, Kind: kind, Term: 4, Service: "s", InstanceID: "i-1", Address: s.listener.Addr().String()}
 }
 
-// probing is a prober with the results that it delivers.
-type probing struct {
+// testProber is a prober with the results that it delivers.
+type testProber struct {
 	*prober
 	results chan failover.ProbeResult
 }
 
-func newProbing(t *testing.T, answerWait time.Duration) probing {
+func newTestProber(t *testing.T, answerWait time.Duration) testProber {
 	t.Helper()
 	started := time.Now()
 	results := make(chan failover.ProbeResult, 100)
 	now := func() time.Duration { return time.Since(started) }
 	deliver := func(result failover.ProbeResult) { results <- result }
 	made := newProber(t.Context(), "c-1", now, deliver, &counters{})
-	made.waits.answer = answerWait
+	made.timeouts.answer = answerWait
 	t.Cleanup(made.close)
-	return probing{prober: made, results: results}
+	return testProber{prober: made, results: results}
 }
 
 const ready = "READY I 3.1\r\n"
 
-func TestProbesShareAConnectionAndTakeTurns(t *testing.T) {
+func TestProbesShareOneConnectionInTurn(t *testing.T) {
 	is := is.New(t)
-	stand := newInstanceStandIn(t, ready)
-	prober := newProbing(t, patience)
+	fake := newFakeInstance(t, ready)
+	prober := newTestProber(t, testTimeout)
 	kinds := []failover.ProbeKind{failover.AskStatus, failover.AskPause, failover.AskContinue, failover.AskStepDown}
 	for index, kind := range kinds {
-		prober.start(stand.probe(uint64(index), kind))
+		prober.start(fake.probe(uint64(index), kind))
 	}
 	var first net.Conn
 	for index, text := range []string{"STATUS", "PAUSE 4", "CONTINUE", "STEPDOWN 4"} {
-		question := receive(t, stand.asked)
-		is.Equal(question.text, "QUERY - "+text)
-		is.Equal(len(stand.asked), 0) // the next one waits for this one's answer
+		query := receive(t, fake.queries)
+		is.Equal(query.text, "QUERY - "+text)
+		is.Equal(len(fake.queries), 0) // the next query waits for the answer to this one
 		if first == nil {
-			first = question.connection
+			first = query.connection
 		}
-		is.Equal(question.connection, first)
-		question.answer(rowOf(uint64(index)))
+		is.Equal(query.connection, first)
+		query.answer(rowOf(uint64(index)))
 		result := receive(t, prober.results)
 		is.Equal(result.Number, uint64(index))
 		is.Equal(result.Answer, failover.Answered)
@@ -153,17 +153,17 @@
 	}
 }
 
-func TestLateAnswerIsNeverTakenForTheNextProbe(t *testing.T) {
+func TestLateAnswerIsNotTakenForNextProbe(t *testing.T) {
 	is := is.New(t)
-	stand := newInstanceStandIn(t, ready)
-	prober := newProbing(t, 50*time.Millisecond)
-	prober.start(stand.probe(1, failover.AskStatus))
-	late := receive(t, stand.asked)
+	fake := newFakeInstance(t, ready)
+	prober := newTestProber(t, 50*time.Millisecond)
+	prober.start(fake.probe(1, failover.AskStatus))
+	late := receive(t, fake.queries)
 	is.Equal(receive(t, prober.results).Answer, failover.Silent)
 
-	prober.waits.answer = patience // the prober rests: nobody else reads it
-	prober.start(stand.probe(2, failover.AskStatus))
-	next := receive(t, stand.asked)
+	prober.timeouts.answer = testTimeout // the prober is idle: nothing else reads it
+	prober.start(fake.probe(2, failover.AskStatus))
+	next := receive(t, fake.queries)
 	is.True(next.connection != late.connection)
 	late.answer(rowOf(111))
 	next.answer(rowOf(222))
@@ -173,31 +173,31 @@
 	is.True(result.Started > 0)
 }
 
-func TestUnaskedBytesSpoilAKeptConnection(t *testing.T) {
+func TestUnexpectedBytesDiscardKeptConnection(t *testing.T) {
 	is := is.New(t)
-	stand := newInstanceStandIn(t, ready)
-	prober := newProbing(t, patience)
-	prober.start(stand.probe(1, failover.AskStatus))
-	first := receive(t, stand.asked)
+	fake := newFakeInstance(t, ready)
+	prober := newTestProber(t, testTimeout)
+	prober.start(fake.probe(1, failover.AskStatus))
+	first := receive(t, fake.queries)
 	first.answer(rowOf(1) + rowOf(111)) // one answer too many
 	is.Equal(receive(t, prober.results).Status.Received.Number, uint64(1))
 
-	prober.start(stand.probe(2, failover.AskStatus))
-	second := receive(t, stand.asked)
+	prober.start(fake.probe(2, failover.AskStatus))
+	second := receive(t, fake.queries)
 	is.True(second.connection != first.connection)
 	second.answer(rowOf(2))
 	is.Equal(receive(t, prober.results).Status.Received.Number, uint64(2))
 }
 
-func TestProbesThatFail(t *testing.T) {
-	reset := func(question askedQuestion) { resetIt(question.connection) }
-	answer := func(text string) func(askedQuestion) {
-		return func(question askedQuestion) { question.answer(text) }
+func TestFailedProbeAnswers(t *testing.T) {
+	reset := func(query receivedQuery) { resetConnection(query.connection) }
+	answer := func(text string) func(receivedQuery) {
+		return func(query receivedQuery) { query.answer(text) }
 	}
 	for _, example := range []struct {
 		name     string
 		greeting string
-		end      func(askedQuestion)
+		end      func(receivedQuery)
 		wanted   failover.ProbeAnswer
 	}{
 		{"busy", ready, answer("ERROR BUSY x\r\n" + ready), failover.Busy},
@@ -210,60 +210,60 @@
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			is := is.New(t)
-			stand := newInstanceStandIn(t, example.greeting)
-			prober := newProbing(t, patience)
-			prober.start(stand.probe(1, failover.AskPause))
+			fake := newFakeInstance(t, example.greeting)
+			prober := newTestProber(t, testTimeout)
+			prober.start(fake.probe(1, failover.AskPause))
 			if example.end != nil {
-				example.end(receive(t, stand.asked))
+				example.end(receive(t, fake.queries))
 			}
 			is.Equal(receive(t, prober.results).Answer, example.wanted)
 		})
 	}
 }
 
-func TestInstanceThatIsNotThere(t *testing.T) {
+func TestUnreachableInstance(t *testing.T) {
 	is := is.New(t)
-	prober := newProbing(t, patience)
-	absent := newInstanceStandIn(t, ready).probe(1, failover.AskStatus)
+	prober := newTestProber(t, testTimeout)
+	absent := newFakeInstance(t, ready).probe(1, failover.AskStatus)
 	absent.Address = loopback.ReserveForTest(t).Address() // nobody listens there
 	prober.start(absent)
 	is.Equal(receive(t, prober.results).Answer, failover.Refused)
 
-	mute := newInstanceStandIn(t, "") // takes the connection and says nothing
-	prober.waits.dial = 50 * time.Millisecond
+	mute := newFakeInstance(t, "") // takes the connection and says nothing
+	prober.timeouts.dial = 50 * time.Millisecond
 	prober.start(mute.probe(2, failover.AskStatus))
 	is.Equal(receive(t, prober.results).Answer, failover.Silent)
 }
 
-func TestEveryProbeEndsAlsoWhenTooManyWait(t *testing.T) {
+func TestEveryProbeEndsWhenQueueIsFull(t *testing.T) {
 	is := is.New(t)
-	stand := newInstanceStandIn(t, ready)
-	prober := newProbing(t, patience)
-	const asked = probesWaiting + 10
+	fake := newFakeInstance(t, ready)
+	prober := newTestProber(t, testTimeout)
+	const asked = maxQueuedProbes + 10
 	for number := range uint64(asked) {
-		prober.start(stand.probe(number, failover.AskStatus))
+		prober.start(fake.probe(number, failover.AskStatus))
 	}
 	ended := map[uint64]bool{}
 	for len(ended) < asked {
 		select {
-		case question := <-stand.asked:
-			question.answer(rowOf(1))
+		case query := <-fake.queries:
+			query.answer(rowOf(1))
 		case result := <-prober.results:
 			is.True(!ended[result.Number])
 			ended[result.Number] = true
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("a probe did not end")
 		}
 	}
 }
 
-func TestRestingConnectionIsClosed(t *testing.T) {
+func TestIdleConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
-	stand := newInstanceStandIn(t, ready)
-	prober := newProbing(t, patience)
-	prober.waits.idle = 10 * time.Millisecond
-	prober.start(stand.probe(1, failover.AskStatus))
-	receive(t, stand.asked).answer(rowOf(1))
-	receive(t, stand.ended)
+	fake := newFakeInstance(t, ready)
+	prober := newTestProber(t, testTimeout)
+	prober.timeouts.idle = 10 * time.Millisecond
+	prober.start(fake.probe(1, failover.AskStatus))
+	receive(t, fake.queries).answer(rowOf(1))
+	receive(t, fake.ended)
 	is.Equal(receive(t, prober.results).Answer, failover.Answered)
 }
--- a/host/process_test.go
+++ b/host/process_test.go
@@ -33,12 +33,12 @@
 func TestControllerSettings(t *testing.T) {
 	is := is.New(t)
 	settings := exampleSettings()
-	is.Equal(ControllerSettings(settings).Failover.DrainLimit, failover.DefaultSettings().DrainLimit) // no bound is named
+	is.Equal(ControllerSettings(settings).Failover.DrainLimit, failover.DefaultSettings().DrainLimit) // no bound is set
 	settings.Bounds.DrainMs = 5000
 	derived := ControllerSettings(settings)
 	is.Equal(derived.Failover.DrainLimit, 5*time.Second)
 	is.Equal(derived.Failover.DrainMargin, time.Second)
-	is.Equal(derived.Lease, 2500*time.Millisecond) // a gateway works on for a lease at most without having heard of a drain
+	is.Equal(derived.Lease, 2500*time.Millisecond) // a gateway that has not heard of a drain goes on for one lease at most
 	settings.Bounds.ConfigApplyMs = 2000
 	is.Equal(ControllerSettings(settings).Lease, 2*time.Second)
 	settings.Bounds.DrainMs = 800
@@ -55,12 +55,12 @@
 	is.True(derived.MaxWatchWait < derived.Lease)
 }
 
-// newOrderedProcess is a process of which only what follows the platform's orders runs.
-func newOrderedProcess(t *testing.T, options Options) *process {
+// newLifecycleProcess returns a process of which only watchLifecycle runs.
+func newLifecycleProcess(t *testing.T, options Options) *process {
 	t.Helper()
 	ctx, cancel := context.WithCancelCause(t.Context())
 	p := &process{options: options, inbox: newMailbox(mailboxLimit), parent: t.Context(), ctx: ctx, cancel: cancel}
-	p.background.Go(p.followOrders)
+	p.background.Go(p.watchLifecycle)
 	t.Cleanup(func() {
 		cancel(nil)
 		p.background.Wait()
@@ -68,22 +68,22 @@
 	return p
 }
 
-func TestTerminateIsPassedOnAndBounded(t *testing.T) {
+func TestTerminateIsForwardedAndBounded(t *testing.T) {
 	is := is.New(t)
 	terminate := make(chan struct{})
-	p := newOrderedProcess(t, Options{Settings: exampleSettings(), Terminate: terminate})
+	p := newLifecycleProcess(t, Options{Settings: exampleSettings(), Terminate: terminate})
 	close(terminate)
 	receive(t, p.inbox.ready)
 	is.Equal(p.inbox.take(nil), []controller.Input{controller.Terminate{}})
-	receive(t, p.ctx.Done()) // a controller that never may end is ended within its grace
-	is.Equal(context.Cause(p.ctx), errGraceOver)
-	is.NoErr(p.failure())
+	receive(t, p.ctx.Done()) // a controller that never finishes its handover is ended within the grace period
+	is.Equal(context.Cause(p.ctx), errGraceExpired)
+	is.NoErr(p.exitError())
 }
 
-func TestReloadPassesTheSeedsOn(t *testing.T) {
+func TestReloadForwardsSeeds(t *testing.T) {
 	is := is.New(t)
 	reload := make(chan system.Settings)
-	p := newOrderedProcess(t, Options{Settings: exampleSettings(), Reload: reload})
+	p := newLifecycleProcess(t, Options{Settings: exampleSettings(), Reload: reload})
 	changed := exampleSettings()
 	changed.Seeds = []string{"10.0.0.7:8782"}
 	reload <- changed
@@ -91,24 +91,24 @@
 	is.Equal(p.inbox.take(nil), []controller.Input{controller.SeedsChanged{Seeds: []string{"10.0.0.7:7440"}}})
 }
 
-func TestAFaultIsTheProcessesError(t *testing.T) {
+func TestCancelCauseIsExitError(t *testing.T) {
 	is := is.New(t)
-	p := newOrderedProcess(t, Options{})
-	p.cancel(errOtherDisk)
-	is.Equal(p.failure(), errOtherDisk)
+	p := newLifecycleProcess(t, Options{})
+	p.cancel(errForeignIncarnation)
+	is.Equal(p.exitError(), errForeignIncarnation)
 }
 
-func TestDescriptorsAreShared(t *testing.T) {
+func TestDescriptorsAreDividedAmongListeners(t *testing.T) {
 	is := is.New(t)
 	is.Equal(connectionLimitsOf(4096), connectionLimits{control: 874, internal: 2622})
 	small := connectionLimitsOf(0)
-	is.True(small.control > 0 && small.control+small.internal < defaultDescriptors-fileDescriptors)
+	is.True(small.control > 0 && small.control+small.internal < defaultDescriptors-reservedForFiles)
 }
 
-func TestSlowSenderIsCut(t *testing.T) {
+func TestSlowSenderIsDisconnected(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, rigOptions{answer: mirror})
-	server := newHTTPServer(r.front, quietLog())
+	r := newRig(t, rigOptions{answer: echoInput})
+	server := newHTTPServer(r.handler, quietLog())
 	server.ReadTimeout = 50 * time.Millisecond
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -122,5 +122,5 @@
 	answer, err := io.ReadAll(slow) // ends only because the server closes
 	is.NoErr(err)
 	is.True(len(answer) > 0)
-	is.Equal(len(r.controller.told), 0)
+	is.Equal(len(r.controller.inputs), 0)
 }
--- a/host/relay.go
+++ b/host/relay.go
@@ -7,31 +7,31 @@
 	"eiderway/control/rpc"
 )
 
-// relayedAtOnce bounds the questions on the shared connection. A server takes four at a time on each.
-const relayedAtOnce = 3
+// maxConcurrentRelays bounds the requests in flight on the shared connection. A server takes four at a time on each connection.
+const maxConcurrentRelays = 3
 
-// relay passes questions of gateways that can't reach the primary on to it.
+// relay forwards requests of gateways that can't reach the primary to it.
 type relay struct {
 	routes rpc.Routes
-	shared rpc.Client    // for questions that are answered at once
-	places chan struct{} // holds a word for each of them that is under way
+	shared rpc.Client    // for requests that are answered at once
+	slots  chan struct{} // holds one token for each of them that is in flight
 }
 
 func newRelay(routes rpc.Routes) *relay {
-	return &relay{routes: routes, shared: rpc.Client{Routes: routes}, places: make(chan struct{}, relayedAtOnce)}
+	return &relay{routes: routes, shared: rpc.Client{Routes: routes}, slots: make(chan struct{}, maxConcurrentRelays)}
 }
 
-// ask passes a question on. Questions for operations are many and are answered at once, so they share a connection. One for news may be held
-// back, and has a connection of its own: gateways that need it are few, and for seconds.
-func (r *relay) ask(ctx context.Context, address string, request feed.WatchRequest) (feed.WatchAnswer, error) {
+// forward sends a request to the controller at the address. Requests for operations are many and are answered at once, so they share a
+// connection. A request for table changes may be held back and gets its own connection: few gateways need that, and only for seconds.
+func (r *relay) forward(ctx context.Context, address string, request feed.WatchRequest) (feed.WatchAnswer, error) {
 	if request.Operations == nil {
 		client := &rpc.Client{Routes: r.routes}
 		defer client.Close()
 		return client.Watch(ctx, address, request)
 	}
 	select {
-	case r.places <- struct{}{}:
-		defer func() { <-r.places }()
+	case r.slots <- struct{}{}:
+		defer func() { <-r.slots }()
 		return r.shared.Watch(ctx, address, request)
 	case <-ctx.Done():
 		return feed.WatchAnswer{}, ctx.Err()
--- a/host/relay_test.go
+++ b/host/relay_test.go
@@ -15,7 +15,7 @@
 	"eiderway/control/rpc"
 )
 
-// countingListener counts the connections that it takes.
+// countingListener counts the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	taken atomic.Int64
@@ -29,8 +29,9 @@
 	return connection, err
 }
 
-// Capacity, when a zone is cut from the primary: each question for operations that was passed on opened a connection to the primary.
-func TestQuestionsForOperationsArePassedOnOverASharedConnection(t *testing.T) {
+// Guards against exhausted capacity when a zone is partitioned from the primary: each relayed request for operations used to open a
+// connection to the primary.
+func TestOperationRequestsAreRelayedOverSharedConnections(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -42,15 +43,15 @@
 		return feed.WatchAnswer{Operations: &quota.Answer{Number: request.Operations.Number}}, true
 	}})
 	defer server.Close()
-	passing := newRelay(nil)
-	defer passing.close()
+	relay := newRelay(nil)
+	defer relay.close()
 	var wait sync.WaitGroup
 	var failed, swapped atomic.Int64
 	for number := range uint64(40) {
 		wait.Go(func() {
 			ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 			defer stop()
-			answer, err := passing.ask(ctx, counted.Addr().String(), feed.WatchRequest{Operations: &quota.Request{Number: number}})
+			answer, err := relay.forward(ctx, counted.Addr().String(), feed.WatchRequest{Operations: &quota.Request{Number: number}})
 			switch {
 			case err != nil:
 				failed.Add(1)
@@ -63,10 +64,10 @@
 	is.Equal(failed.Load(), int64(0))
 	is.Equal(swapped.Load(), int64(0))
 	made := counted.taken.Load()
-	is.True(made <= relayedAtOnce) // of those that are made at once, one is kept
+	is.True(made <= maxConcurrentRelays) // of connections that are opened at the same time, the client keeps one
 
-	// Questions that are held back don't stand in their way.
-	_, err = passing.ask(t.Context(), counted.Addr().String(), feed.WatchRequest{})
+	// A request that may be held back uses another connection.
+	_, err = relay.forward(t.Context(), counted.Addr().String(), feed.WatchRequest{})
 	is.NoErr(err)
 	is.Equal(counted.taken.Load(), made+1)
 }
--- a/host/settings.go
+++ b/host/settings.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// tableLease is how long a gateway may work by its table after it asked. Longer leases ride out longer takeovers of
-	// the control state; shorter ones let a service be replaced sooner while a gateway is cut off. A takeover lasts about
-	// a second on a calm network, and gateways ask again long before a lease is over.
+	// tableLease is how long a gateway may use its table after the request that renewed it. Longer leases outlast longer takeovers of the
+	// control state; shorter ones let a leader be replaced sooner while a gateway is partitioned. A takeover lasts about a second on a
+	// healthy network, and gateways ask again long before a lease expires.
 	tableLease = 3 * time.Second
-	// leaseMargin covers the difference of two steady clocks over one lease: 100 ms in 3 s is a drift of three percent,
-	// far beyond what steady clocks show.
+	// leaseMargin covers the drift between two monotonic clocks over one lease: 100 ms in 3 s is three percent, far beyond what such clocks
+	// show.
 	leaseMargin = 100 * time.Millisecond
-	// watchWait is the longest that a gateway's question waits for news. It renews the lease, so several must fit in one.
-	watchWait = 600 * time.Millisecond
-	// callWait is within the second of silence after which callers turn to another controller, with time left for the
-	// answer to travel.
-	callWait = 800 * time.Millisecond
+	// maxWatchWait is how long a watch request may be held back for changes. Each request renews the lease, so several must fit in one lease.
+	maxWatchWait = 600 * time.Millisecond
+	// callTimeout is shorter than the second of silence after which callers turn to another controller, with time left for the answer to
+	// travel.
+	callTimeout = 800 * time.Millisecond
 )
 
-// An instance that misses this many beats in a row, and for at least this long, is taken for lost: failovers and
-// takeovers of the control state must not look like losses.
+// An instance counts as lost after this many missed heartbeats in a row, but not before minInstanceTimeout: failovers and takeovers of the
+// control state must not look like losses.
 const (
-	beatsMissedWhenLost = 8
-	leastInstanceLost   = 10 * time.Second
+	missedBeatsUntilLost = 8
+	minInstanceTimeout   = 10 * time.Second
 )
 
-// dutyShare is the part of the platform's rate of duty calls that one holder uses: another may have been holding the
-// duty until just now, and both count.
+// dutyShare is the part of the platform's rate limit on duty calls that one holder uses: a previous holder may have made calls until just
+// now, and the limit counts both.
 const dutyShare = 0.5
 
 // ControllerSettings derives the settings of a controller from those of its process.
@@ -43,21 +43,21 @@
 	return controller.Settings{
 		Replication:     replicationSettings(settings),
 		Failover:        failoverSettings(settings),
-		Lease:           leaseOf(settings.Bounds),
+		Lease:           leaseFor(settings.Bounds),
 		LeaseMargin:     leaseMargin,
-		MaxWatchWait:    watchWait,
-		InstanceTimeout: max(beatsMissedWhenLost*settings.BeatInterval(), leastInstanceLost),
-		CallTimeout:     callWait,
+		MaxWatchWait:    maxWatchWait,
+		InstanceTimeout: max(missedBeatsUntilLost*settings.BeatInterval(), minInstanceTimeout),
+		CallTimeout:     callTimeout,
 		Quota:           settings.Bounds.QuotaRules(),
 	}
 }
 
-// leaseShareOfRevoke is the most that a lease may take of the time in which a key that was taken away is to be of no use, in percent.
-const leaseShareOfRevoke = 75
+// maxLeaseRevokePercent bounds a lease to this percentage of Bounds.Revoke, the time within which a revoked key must stop working.
+const maxLeaseRevokePercent = 75
 
-// leaseOf keeps a lease within half of the time that a drain leaves, within the time in which a configuration is to be in force,
-// and within that in which a key that was taken away is to be of no use: a gateway that has not heard of it works on for a lease at most.
-func leaseOf(bounds system.Bounds) time.Duration {
+// leaseFor keeps the lease within half of Bounds.Drain, within Bounds.ConfigApply and within a share of Bounds.Revoke: a gateway that has not
+// heard of a drain, a new configuration or a revoked key goes on for one lease at most.
+func leaseFor(bounds system.Bounds) time.Duration {
 	lease := tableLease
 	if drain := bounds.Drain(); drain > 0 {
 		lease = min(lease, drain/2)
@@ -66,7 +66,7 @@
 		lease = min(lease, apply)
 	}
 	if revoke := bounds.Revoke(); revoke > 0 {
-		lease = min(lease, revoke*leaseShareOfRevoke/100)
+		lease = min(lease, revoke*maxLeaseRevokePercent/100)
 	}
 	return lease
 }
@@ -88,17 +88,17 @@
 }
 
 func failoverSettings(settings system.Settings) failover.Settings {
-	chosen := failover.DefaultSettings()
-	chosen.Holder = settings.Name
-	chosen.FenceChecked = settings.Bounds.FenceChecked
+	derived := failover.DefaultSettings()
+	derived.Holder = settings.Name
+	derived.FenceChecked = settings.Bounds.FenceChecked
 	if settings.PlatformAPI != nil && settings.PlatformAPI.DutyPerS > 0 {
-		chosen.CallsPerSecond = settings.PlatformAPI.DutyPerS * dutyShare
+		derived.CallsPerSecond = settings.PlatformAPI.DutyPerS * dutyShare
 	}
 	if drain := settings.Bounds.Drain(); drain > 0 {
-		chosen.DrainLimit = drain
-		chosen.DrainMargin = settings.Bounds.DrainMargin()
+		derived.DrainLimit = drain
+		derived.DrainMargin = settings.Bounds.DrainMargin()
 	}
-	return chosen
+	return derived
 }
 
 func randomSeed() uint64 {
--- a/host/sockets_test.go
+++ b/host/sockets_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// TestKeptConnectionsLeaveRoom has more callers keep their connections than are kept: each of them is answered all the same, and so is one
-// that comes after them, as an operator may.
-func TestKeptConnectionsLeaveRoom(t *testing.T) {
+// More callers want to keep their connections than may: each is answered all the same, and so is one that comes after them, such as an
+// operator.
+func TestKeptAliveConnectionsLeaveRoomForOthers(t *testing.T) {
 	is := is.New(t)
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	counters := &counters{}
-	limited := &limitedListener{Listener: inner, limit: 8, keep: 4, refused: &counters.connectionsRefused}
+	limited := &limitedListener{Listener: inner, limit: 8, maxKept: 4, refused: &counters.connectionsRefused}
 	server := newHTTPServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), quietLog())
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(limited) }()
@@ -32,7 +32,7 @@
 				closed++
 			}
 		}
-		is.Equal(closed, callers-4*(1-round)) // four keep theirs, from the first round on
+		is.Equal(closed, callers-4*(1-round)) // four connections are kept, from the first round on
 	}
 	is.Equal(counters.connectionsRefused.Load(), uint64(0))
 	is.NoErr(server.Close())
--- a/system/metrics/metrics_test.go
+++ b/system/metrics/metrics_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestEndpointIsPortAndPath(t *testing.T) {
+func TestParseEndpoint(t *testing.T) {
 	is := is.New(t)
 	endpoint, err := ParseEndpoint("9464/metrics")
 	is.NoErr(err)
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestFiguresAreServedAsText(t *testing.T) {
+func TestSamplesAreServedAsText(t *testing.T) {
 	is := is.New(t)
 	source := func() []Sample {
 		return []Sample{
--- a/system/settings_test.go
+++ b/system/settings_test.go
@@ -39,7 +39,7 @@
 	is.True(!settings.HasContract("grants"))
 }
 
-func TestMissingFiguresGetTheirDefaults(t *testing.T) {
+func TestMissingFieldsGetTheirDefaults(t *testing.T) {
 	is := is.New(t)
 	settings, err := Load("testdata/controller.json")
 	is.NoErr(err)
@@ -90,7 +90,7 @@
 
 // A bound of zero asks for nothing that can't be tried, and a controller that has its disk knows the others without seeds:
 // neither is worth a process that doesn't start.
-func TestUnusualSettingsAreTaken(t *testing.T) {
+func TestUnusualSettingsAreAccepted(t *testing.T) {
 	is := is.New(t)
 	sound := example(t, "controller.json")
 	settings, err := Parse([]byte(strings.Replace(sound, `["10.1.0.11:8782", "10.2.0.8:8782"]`, `[]`, 1)))
@@ -101,7 +101,7 @@
 	is.Equal(settings.Bounds.Contact(), time.Duration(0))
 }
 
-func TestCutOffSettingsAreRefused(t *testing.T) {
+func TestTruncatedSettingsAreRefused(t *testing.T) {
 	is := is.New(t)
 	whole := bytes.TrimSpace([]byte(example(t, "controller.json")))
 	for length := range whole {
--- a/system/watcher_test.go
+++ b/system/watcher_test.go
@@ -56,7 +56,7 @@
 	return len(w.lines.AllEntries())
 }
 
-func TestWatcherHandsOutOnlyOtherSettings(t *testing.T) {
+func TestWatcherSendsOnlyChangedSettings(t *testing.T) {
 	is := is.New(t)
 	watcher, sound := watch(t), example(t, "controller.json")
 	watcher.lookAt(sound)
@@ -93,7 +93,7 @@
 	is.Equal(watcher.errors(), 2)
 }
 
-func TestWatchLooksAtASignalAndNowAndThen(t *testing.T) {
+func TestWatchReadsFileOnSignalAndPeriodically(t *testing.T) {
 	is := is.New(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
