--- a/system/bounds.go
+++ b/system/bounds.go
@@ -6,7 +6,7 @@
 	"eiderway/control/quota"
 )
 
-// Bounds are the figures of the rules in force.
+// Bounds are the time limits and other figures of the rules in force, as the settings file gives them.
 type Bounds struct {
 	SeedLagS      float64 `json:"seedLagS" validate:"gte=0,lte=3600"`
 	AddrReuseS    float64 `json:"addrReuseS" validate:"gte=0,lte=3600"`
@@ -30,8 +30,8 @@
 	QuotaSlack   float64 `json:"quotaSlack" validate:"gte=0,lte=1000000"`
 }
 
-// DefaultBounds hold where the settings file has no figure: those of the examples on the operators' pages, but that the
-// platform is not trusted to check a fence, and that a key which was taken away binds all machines.
+// DefaultBounds returns the values for fields that the settings file leaves out. They are those of the examples in the operators' pages,
+// except that the platform is not trusted to check fences, and that a revoked key must stop working on all machines.
 func DefaultBounds() Bounds {
 	return Bounds{
 		SeedLagS:      3,
@@ -56,53 +56,53 @@
 	}
 }
 
-// SeedLag is how far the operator's list of controllers may lag.
+// SeedLag is how far the operator's list of controllers may lag behind.
 func (b Bounds) SeedLag() time.Duration { return seconds(b.SeedLagS) }
 
 // AddrReuse is how soon the address of an instance that is gone may belong to another.
 func (b Bounds) AddrReuse() time.Duration { return seconds(b.AddrReuseS) }
 
-// Contact is how long a machine must have been calm to count as in touch.
+// Contact is how long a machine must have been without faults to count as connected.
 func (b Bounds) Contact() time.Duration { return milliseconds(b.ContactMs) }
 
-// Ack is within what time an order is acknowledged.
+// Ack is the time within which an order is acknowledged.
 func (b Bounds) Ack() time.Duration { return milliseconds(b.AckMs) }
 
-// CatchUp is how long a machine counts as lost once it is back.
+// CatchUp is how long a machine still counts as lost after it has returned.
 func (b Bounds) CatchUp() time.Duration { return seconds(b.CatchUpS) }
 
-// Drain is within what time after an acknowledged drain no statement may reach the instance.
+// Drain is the time after the acknowledgement of a drain from which on no statement may reach the instance.
 func (b Bounds) Drain() time.Duration { return milliseconds(b.DrainMs) }
 
-// mostDrainMargin is enough for a statement's way to an instance, for clocks that differ, and for a machine that is far busier than usual.
-const mostDrainMargin = time.Second
+// maxDrainMargin is enough for a statement's way to an instance, for clock drift, and for a machine that is far busier than usual.
+const maxDrainMargin = time.Second
 
-// DrainMargin is how long before the end of Drain no statement is begun any more.
-func (b Bounds) DrainMargin() time.Duration { return min(mostDrainMargin, b.Drain()/4) }
+// DrainMargin is how long before the end of Drain the last statement may start.
+func (b Bounds) DrainMargin() time.Duration { return min(maxDrainMargin, b.Drain()/4) }
 
 // Grace is the time between SIGTERM and SIGKILL.
 func (b Bounds) Grace() time.Duration { return seconds(b.GraceS) }
 
-// LossSlack is how late a connection may end without an answer to a request that was read.
+// LossSlack is how late a connection may close without an answer to a request that was read.
 func (b Bounds) LossSlack() time.Duration { return milliseconds(b.LossSlackMs) }
 
-// ConfigApply is within what time an acknowledged configuration is in force at every gateway.
+// ConfigApply is the time within which an acknowledged configuration is in force at every gateway.
 func (b Bounds) ConfigApply() time.Duration { return milliseconds(b.ConfigApplyMs) }
 
-// RevertSlack is how long after a configuration's first effect an older one may still be seen.
+// RevertSlack is how long after a configuration's first effect an older configuration may still be visible.
 func (b Bounds) RevertSlack() time.Duration { return milliseconds(b.RevertSlackMs) }
 
-// StretchMax is what an unsettled core may add to ConfigApply.
+// StretchMax is how much ConfigApply may be extended while the controllers are unsettled.
 func (b Bounds) StretchMax() time.Duration { return milliseconds(b.StretchMaxMs) }
 
-// Recovery is within what time after a closing fault statements are served again.
+// Recovery is the time after the end of a fault within which statements are served again.
 func (b Bounds) Recovery() time.Duration { return seconds(b.RecoveryS) }
 
-// ThawSlack is how long after a freeze or trouble on its link a machine's statements are not held against it.
+// ThawSlack is how long after a freeze or a link fault the statements of a machine don't count as violations.
 func (b Bounds) ThawSlack() time.Duration { return milliseconds(b.ThawSlackMs) }
 
-// Revoke is within what time a key that was taken away is of no use at any gateway, whether it hears of it or not; zero: at those
-// that hear of it only.
+// Revoke is the time within which a revoked key stops working at every gateway, whether the gateway hears of it or not. Zero means that this
+// is required only of gateways that hear of it.
 func (b Bounds) Revoke() time.Duration {
 	if !b.RevokeStrict {
 		return 0
@@ -110,7 +110,7 @@
 	return milliseconds(b.RevokeMs)
 }
 
-// QuotaRules are the figures by which the operations of a tenant are counted.
+// QuotaRules returns the rules by which the operations of a tenant are counted.
 func (b Bounds) QuotaRules() quota.Rules {
 	return quota.Rules{Window: seconds(b.QuotaWindowS), Overrun: b.QuotaOverrun, Slack: b.QuotaSlack}
 }
--- a/system/check.go
+++ b/system/check.go
@@ -11,12 +11,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// check applies the rules on single fields, then those on several fields together.
+// check applies the rules on single fields, then those on combinations of fields.
 func check(settings Settings) error {
 	if err := checkFields(settings); err != nil {
 		return err
 	}
-	return checkTogether(settings)
+	return checkCombinations(settings)
 }
 
 func checkFields(settings Settings) error {
@@ -26,9 +26,9 @@
 		return eris.Wrap(err, "settings")
 	}
 	err := checker.Struct(settings)
-	var broken validator.ValidationErrors
-	if errors.As(err, &broken) {
-		return fieldError(broken[0])
+	var violations validator.ValidationErrors
+	if errors.As(err, &violations) {
+		return fieldError(violations[0])
 	}
 	return err
 }
@@ -38,43 +38,43 @@
 	return name
 }
 
-// isAddress wants an IPv4 address and a port: names are not looked up.
+// isAddress accepts an IPv4 address and a port. Host names are never resolved, so they are not accepted.
 func isAddress(field validator.FieldLevel) bool {
 	address, err := netip.ParseAddrPort(field.Field().String())
 	return err == nil && address.Addr().Is4() && address.Port() != 0
 }
 
-func fieldError(broken validator.FieldError) error {
-	_, field, _ := strings.Cut(broken.Namespace(), ".")
-	return refusal(field, broken.Value(), whatWouldDo(broken))
+func fieldError(violation validator.FieldError) error {
+	_, field, _ := strings.Cut(violation.Namespace(), ".")
+	return invalidField(field, violation.Value(), expectation(violation))
 }
 
-func whatWouldDo(broken validator.FieldError) string {
-	switch broken.Tag() {
+func expectation(violation validator.FieldError) string {
+	switch violation.Tag() {
 	case "required":
 		return "a name"
 	case "address":
-		return "an IPv4 address and a port, such as 10.1.0.8:8784,"
+		return "an IPv4 address and a port, such as 10.1.0.8:8784"
 	case "ip4_addr":
-		return "an IPv4 address, such as 10.1.0.8,"
+		return "an IPv4 address, such as 10.1.0.8"
 	case "len":
-		return "a list of " + broken.Param()
+		return "a list of length " + violation.Param()
 	case "gt":
-		return "a number over " + broken.Param()
+		return "a number above " + violation.Param()
 	case "gte", "min":
-		return "a number from " + broken.Param() + " on"
+		return "a number of " + violation.Param() + " or more"
 	case "lte", "max":
-		return "a number up to " + broken.Param()
+		return "a number of at most " + violation.Param()
 	}
-	return "what satisfies " + broken.Tag() + "=" + broken.Param()
+	return "a value that satisfies " + violation.Tag() + "=" + violation.Param()
 }
 
-func checkTogether(settings Settings) error {
+func checkCombinations(settings Settings) error {
 	if !settings.IsGateway() && !settings.IsController() {
-		return refusal("serves", settings.Serves, ServesEdge+" or "+ServesControlPlane)
+		return invalidField("serves", settings.Serves, ServesEdge+" or "+ServesControlPlane)
 	}
 	if settings.InternalPorts[0] > settings.InternalPorts[1] {
-		return refusal("internalPortRange", settings.InternalPorts, "a first port that is not above the last")
+		return invalidField("internalPortRange", settings.InternalPorts, "a first port that is not above the last")
 	}
 	if settings.IsGateway() {
 		if err := checkGateway(settings); err != nil {
@@ -89,37 +89,37 @@
 
 func checkGateway(settings Settings) error {
 	if settings.Listen.Front == "" {
-		return refusal("listenAddrs.front", "", "the address for clients of a process that serves "+ServesEdge)
+		return invalidField("listenAddrs.front", "", "the address for clients of a process that serves "+ServesEdge)
 	}
 	if settings.Listen.Readiness == "" {
-		return refusal("listenAddrs.readiness", "", "the address for the platform's question of a process that serves "+ServesEdge)
+		return invalidField("listenAddrs.readiness", "", "the address for readiness checks of a process that serves "+ServesEdge)
 	}
 	return nil
 }
 
 func checkController(settings Settings) error {
 	if settings.Listen.Control == "" {
-		return refusal("listenAddrs.control", "", "the address for callers of a process that serves "+ServesControlPlane)
+		return invalidField("listenAddrs.control", "", "the address for callers of a process that serves "+ServesControlPlane)
 	}
 	if settings.DataDirectory == "" {
-		return refusal("dataDir", "", "the directory of a process that serves "+ServesControlPlane)
+		return invalidField("dataDir", "", "the directory of a process that serves "+ServesControlPlane)
 	}
 	return nil
 }
 
-func refusal(field string, holds any, wouldDo string) error {
-	return eris.Errorf("settings: %s holds %s: %s would do", field, shown(holds), wouldDo)
+func invalidField(field string, value any, wanted string) error {
+	return eris.Errorf("settings: %s holds %s: want %s", field, formatValue(value), wanted)
 }
 
-// shown is the value on one line, not longer than a line of a log should be.
-func shown(value any) string {
-	const longest = 80 // bytes: enough for any sound value
+// formatValue formats the value on one line and shortens it to fit into a line of a log.
+func formatValue(value any) string {
+	const maxLength = 80 // bytes: enough for any valid value
 	text := fmt.Sprintf("%v", value)
 	if quoted, ok := value.(string); ok {
 		text = fmt.Sprintf("%q", quoted)
 	}
-	if len(text) > longest {
-		return text[:longest] + "..."
+	if len(text) > maxLength {
+		return text[:maxLength] + "..."
 	}
 	return text
 }
--- a/system/load.go
+++ b/system/load.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Used where the settings file has no figure: a second is short enough for every bound that depends on it.
+// defaultBeatIntervalMs applies if the settings file has no interval: a second is short enough for every bound that depends on it.
 const defaultBeatIntervalMs = 1000
 
 // Load reads and checks the settings file.
@@ -36,11 +36,11 @@
 func decodingError(contents []byte, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return eris.Errorf("settings: %s holds JSON of type %s: %s would do", wrongType.Field, wrongType.Value, jsonTypeOf(wrongType.Type))
+		return eris.Errorf("settings: %s holds JSON of type %s: want %s", wrongType.Field, wrongType.Value, jsonTypeOf(wrongType.Type))
 	}
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
-		return eris.Errorf("settings: line %d is not JSON (%s): a whole JSON object would do", lineAt(contents, syntax.Offset), syntax)
+		return eris.Errorf("settings: line %d is not JSON (%s): want a complete JSON object", lineAt(contents, syntax.Offset), syntax)
 	}
 	return eris.Wrap(err, "settings")
 }
--- a/system/metrics/metrics.go
+++ b/system/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a process's own figures as text, in the format that Prometheus reads. Nothing is gathered until somebody
-// asks, so figures that nobody reads cost a listening socket.
+// Package metrics exposes the metrics of a process in the text format of Prometheus. They are gathered on request only, so metrics that
+// nobody reads cost no more than a listening socket.
 package metrics
 
 import (
@@ -16,36 +16,36 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind says how a figure behaves.
+// Kind is the type of a metric.
 type Kind int
 
 const (
-	// Counter only rises within one life of the process.
+	// Counter never falls while the process runs.
 	Counter Kind = iota
 	// Gauge may rise and fall.
 	Gauge
 )
 
-// Sample is one figure at the moment of asking.
+// Sample is the value of a metric at the time of a request.
 type Sample struct {
-	Name  string // without the prefix that all figures have
+	Name  string // without the prefix that all metrics share
 	Help  string
 	Kind  Kind
 	Value float64
 	Label string // value of the "of" label: what the sample belongs to, such as a service; "" for the whole process
 }
 
-// NewGauge gives a figure of the process that may rise and fall.
+// NewGauge returns a gauge of the whole process.
 func NewGauge(name, help string, value float64) Sample {
 	return Sample{Name: name, Help: help, Kind: Gauge, Value: value}
 }
 
-// NewLabeledGauge gives a figure of a part of the process, such as a service.
+// NewLabeledGauge returns a gauge of a part of the process, such as a service, which the label names.
 func NewLabeledGauge(name, help, label string, value float64) Sample {
 	return Sample{Name: name, Help: help, Kind: Gauge, Value: value, Label: label}
 }
 
-// BoolValue is the value of a figure that only says whether something holds.
+// BoolValue returns the value of a gauge for a condition: 1 if it holds, else 0.
 func BoolValue(holds bool) float64 {
 	if holds {
 		return 1
@@ -53,32 +53,32 @@
 	return 0
 }
 
-// Source gives the figures of the moment. It is called from any goroutine.
+// Source returns the current samples. It must be safe for concurrent use.
 type Source func() []Sample
 
 const (
-	prefix     = "eidersystem_"
-	ofLabel    = "of"
-	answerTime = 2 * time.Second
+	prefix       = "eidersystem_"
+	labelName    = "of"
+	serveTimeout = 2 * time.Second
 )
 
-// Endpoint is where figures are served: PORT/PATH of the machine's own address.
+// Endpoint is where metrics are exposed: a port of the machine's own address, and a path.
 type Endpoint struct {
 	Port uint16
 	Path string
 }
 
-// ParseEndpoint reads PORT/PATH, such as 9464/metrics.
+// ParseEndpoint parses PORT/PATH, such as 9464/metrics.
 func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, found := strings.Cut(text, "/")
 	number, err := strconv.ParseUint(port, 10, 16)
 	if err != nil || number == 0 || !found || path == "" {
-		return Endpoint{}, eris.Errorf("metrics: %q: PORT/PATH such as 9464/metrics would do", text)
+		return Endpoint{}, eris.Errorf("metrics: %q: want PORT/PATH, such as 9464/metrics", text)
 	}
 	return Endpoint{Port: uint16(number), Path: "/" + path}, nil
 }
 
-// Serve serves the figures at the address until the context ends. It returns once it listens.
+// Serve exposes the metrics at the address until the context ends. It returns once it listens.
 func Serve(ctx context.Context, ip string, endpoint Endpoint, source Source) error {
 	address, err := netip.ParseAddr(ip)
 	if err != nil {
@@ -89,7 +89,7 @@
 	if err != nil {
 		return eris.Wrap(err, "metrics")
 	}
-	server := &http.Server{Handler: handler(endpoint.Path, source), ReadHeaderTimeout: answerTime, WriteTimeout: answerTime}
+	server := &http.Server{Handler: handler(endpoint.Path, source), ReadHeaderTimeout: serveTimeout, WriteTimeout: serveTimeout}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	go func() { _ = server.Serve(listener) }()
 	return nil
@@ -103,7 +103,7 @@
 	return routes
 }
 
-// collector passes a source's figures on. They aren't described before: which there are depends on the moment.
+// collector passes the samples of a source to Prometheus. It describes no metrics in advance, since their set changes at run time.
 type collector struct{ source Source }
 
 // Describe implements prometheus.Collector.
@@ -111,16 +111,16 @@
 
 // Collect implements prometheus.Collector.
 func (c collector) Collect(out chan<- prometheus.Metric) {
-	for _, figure := range c.source() {
+	for _, sample := range c.source() {
 		var labels, values []string
-		if figure.Label != "" {
-			labels, values = []string{ofLabel}, []string{figure.Label}
+		if sample.Label != "" {
+			labels, values = []string{labelName}, []string{sample.Label}
 		}
 		kind := prometheus.CounterValue
-		if figure.Kind == Gauge {
+		if sample.Kind == Gauge {
 			kind = prometheus.GaugeValue
 		}
-		description := prometheus.NewDesc(prefix+figure.Name, figure.Help, labels, nil)
-		out <- prometheus.MustNewConstMetric(description, kind, figure.Value, values...)
+		description := prometheus.NewDesc(prefix+sample.Name, sample.Help, labels, nil)
+		out <- prometheus.MustNewConstMetric(description, kind, sample.Value, values...)
 	}
 }
--- a/system/settings.go
+++ b/system/settings.go
@@ -1,8 +1,7 @@
-// Package system reads what a process is told when it starts: the settings file that the platform writes for it.
+// Package system reads and checks the settings file, which the platform writes for each process.
 //
-// The file is JSON. Fields that this version does not know are ignored. Fields that are missing and have a default get
-// it; the others are required. A file that breaks a rule is refused with one line that names the field, says what it
-// holds and what would do.
+// The file is JSON. Unknown fields are ignored. Missing fields get their default if they have one; the others are required. A file that
+// breaks a rule is rejected with a one-line error that names the field, its value and what is wanted.
 package system
 
 import (
@@ -13,17 +12,17 @@
 const (
 	// PathVariable is the environment variable that holds the path of the settings file.
 	PathVariable = "EIDERWAY_BOOT"
-	// DefaultPath is where the settings file lives if PathVariable is not set.
+	// DefaultPath is the path of the settings file if PathVariable is not set.
 	DefaultPath = "/etc/eiderway/settings.json"
 )
 
-// What a process may serve.
+// Values of Settings.Serves.
 const (
 	ServesEdge         = "edge"
 	ServesControlPlane = "control_plane"
 )
 
-// Settings is the contents of the settings file.
+// Settings are the contents of the settings file.
 type Settings struct {
 	Name            string            `json:"routerName" validate:"required"`
 	Role            string            `json:"role"`
@@ -35,8 +34,8 @@
 	Zones           map[string]string `json:"zones"` // zone to region
 	Listen          ListenAddresses   `json:"listenAddrs"`
 	InternalPorts   []int             `json:"internalPortRange" validate:"len=2,dive,min=1,max=65535"`               // first and last
-	InternalRoutes  map[string]string `json:"internalRoutes,omitempty" validate:"dive,keys,address,endkeys,address"` // through relays
-	Seeds           []string          `json:"seedPeers" validate:"dive,address"`                                     // control addresses
+	InternalRoutes  map[string]string `json:"internalRoutes,omitempty" validate:"dive,keys,address,endkeys,address"` // address to the address of a relay
+	Seeds           []string          `json:"seedPeers" validate:"dive,address"`                                     // control addresses of controllers
 	FirstStart      bool              `json:"firstStart"`
 	LossCounted     bool              `json:"lossCounted"`
 	Limits          Limits            `json:"limits"`
@@ -48,17 +47,17 @@
 	FaultTolerance  FaultTolerance    `json:"faultTolerance"`
 	Bounds          Bounds            `json:"bounds"`
 	ConfigMode      string            `json:"config_mode"`
-	PlatformAPI     *PlatformAPI      `json:"platformApi"` // nil: the platform takes no calls
+	PlatformAPI     *PlatformAPI      `json:"platformApi"` // nil: the platform accepts no calls
 }
 
-// ListenAddresses are where the process serves its callers; which are needed follows from Settings.Serves.
+// ListenAddresses are the addresses on which the process serves its callers. Settings.Serves decides which ones are required.
 type ListenAddresses struct {
 	Front     string `json:"front" validate:"omitempty,address"`
 	Readiness string `json:"readiness" validate:"omitempty,address"`
 	Control   string `json:"control" validate:"omitempty,address"`
 }
 
-// Limits of the machine. Zero means that the file does not say.
+// Limits are the resources of the machine. Zero means that the file gives no limit.
 type Limits struct {
 	CPUShare float64 `json:"cpuShare" validate:"gte=0"`
 	CPUCores float64 `json:"cpuCores" validate:"gte=0"`
@@ -68,14 +67,14 @@
 	DiskMb   float64 `json:"diskMb" validate:"gte=0"`
 }
 
-// FaultTolerance is what may be lost at once with all rules kept.
+// FaultTolerance is how much may be lost at the same time without breaking a rule.
 type FaultTolerance struct {
 	Machines int `json:"machines" validate:"gte=0"` // of those with LossCounted
 	Zones    int `json:"zones" validate:"gte=0"`
 	Regions  int `json:"regions" validate:"gte=0"`
 }
 
-// PlatformAPI is where the platform takes calls.
+// PlatformAPI is the address at which the platform accepts calls, with its rate limits.
 type PlatformAPI struct {
 	Address  string   `json:"address" validate:"address"`
 	RatePerS float64  `json:"ratePerS" validate:"gte=0"`
@@ -83,10 +82,10 @@
 	DutyPerS float64  `json:"dutyPerS" validate:"gte=0"`
 }
 
-// IsGateway tells whether the process serves clients.
+// IsGateway reports whether the process serves clients.
 func (s Settings) IsGateway() bool { return s.servesTo(ServesEdge) }
 
-// IsController tells whether the process serves the control plane.
+// IsController reports whether the process serves the control plane.
 func (s Settings) IsController() bool { return s.servesTo(ServesControlPlane) }
 
 func (s Settings) servesTo(callers string) bool {
@@ -98,7 +97,7 @@
 	return false
 }
 
-// HasContract tells whether this part of the rules is in force.
+// HasContract reports whether this part of the rules is in force.
 func (s Settings) HasContract(name string) bool {
 	for _, contract := range s.ActiveContracts {
 		if contract == name {
@@ -108,13 +107,13 @@
 	return false
 }
 
-// ToleratedMachines is how many machines may be lost at once.
+// ToleratedMachines is how many machines may be lost at the same time.
 func (s Settings) ToleratedMachines() int { return s.FaultTolerance.Machines }
 
-// BeatInterval is about how often an instance sends a heartbeat.
+// BeatInterval is the approximate time between heartbeats of an instance.
 func (s Settings) BeatInterval() time.Duration { return milliseconds(s.BeatIntervalMs) }
 
-// RPCAddress is where this process would listen for other processes of the system.
+// RPCAddress returns the address on which this process listens for other processes of the system, or "" if the settings don't give one.
 func (s Settings) RPCAddress() string {
 	ip, err := netip.ParseAddr(s.IPAddress)
 	if err != nil {
@@ -123,13 +122,13 @@
 	return s.rpcAddressAt(ip)
 }
 
-// SeedRPCAddresses are where the seeds listen for other processes of the system: all machines have the same ports.
+// SeedRPCAddresses returns the addresses on which the seeds listen for other processes of the system. All machines use the same ports.
 func (s Settings) SeedRPCAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
 		control, err := netip.ParseAddrPort(seed)
 		if err != nil {
-			continue // Parse has refused it
+			continue // Parse rejects such settings
 		}
 		addresses = append(addresses, s.rpcAddressAt(control.Addr()))
 	}
--- a/system/settings_test.go
+++ b/system/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func example(t *testing.T, name string) string {
+func readExample(t *testing.T, name string) string {
 	t.Helper()
 	contents, err := os.ReadFile("testdata/" + name)
 	if err != nil {
@@ -44,7 +44,7 @@
 	settings, err := Load("testdata/controller.json")
 	is.NoErr(err)
 	is.True(settings.IsController())
-	is.Equal(settings.Bounds.Contact(), 5*time.Second) // from the file
+	is.Equal(settings.Bounds.Contact(), 5*time.Second) // set in the file
 	defaults := DefaultBounds()
 	is.Equal(settings.Bounds.AckMs, defaults.AckMs)
 	is.Equal(settings.Bounds.FenceChecked, false)
@@ -53,46 +53,46 @@
 }
 
 func TestRefusedSettings(t *testing.T) {
-	cases := []struct{ name, file, from, to, says string }{
-		{"no port", "gateway.json", `"10.1.0.8:8784"`, `"10.1.0.8"`, `settings: listenAddrs.front holds "10.1.0.8": an IPv4 address and a port, such as 10.1.0.8:8784, would do`},
+	cases := []struct{ name, file, from, to, message string }{
+		{"no port", "gateway.json", `"10.1.0.8:8784"`, `"10.1.0.8"`, `settings: listenAddrs.front holds "10.1.0.8": want an IPv4 address and a port, such as 10.1.0.8:8784`},
 		{"a seed by name", "gateway.json", `"10.2.0.8:8782"`, `"core-b:8782"`, `seedPeers[1] holds "core-b:8782"`},
 		{"port zero", "gateway.json", `"10.1.0.8:8785"`, `"10.1.0.8:0"`, `listenAddrs.readiness holds "10.1.0.8:0"`},
-		{"no address", "gateway.json", `"ipAddress": "10.1.0.8"`, `"ipAddress": "here"`, `ipAddress holds "here": an IPv4 address`},
-		{"one port", "gateway.json", `[7440, 7455]`, `[7440]`, `internalPortRange holds [7440]: a list of 2 would do`},
-		{"port too high", "gateway.json", `[7440, 7455]`, `[7440, 70000]`, `internalPortRange[1] holds 70000: a number up to 65535 would do`},
+		{"no address", "gateway.json", `"ipAddress": "10.1.0.8"`, `"ipAddress": "here"`, `ipAddress holds "here": want an IPv4 address`},
+		{"one port", "gateway.json", `[7440, 7455]`, `[7440]`, `internalPortRange holds [7440]: want a list of length 2`},
+		{"port too high", "gateway.json", `[7440, 7455]`, `[7440, 70000]`, `internalPortRange[1] holds 70000: want a number of at most 65535`},
 		{"ports swapped", "gateway.json", `[7440, 7455]`, `[7455, 7440]`, `internalPortRange holds [7455 7440]`},
-		{"serves nobody", "gateway.json", `"serves": ["edge"]`, `"serves": ["others"]`, `serves holds [others]: edge or control_plane would do`},
+		{"serves nobody", "gateway.json", `"serves": ["edge"]`, `"serves": ["others"]`, `serves holds [others]: want edge or control_plane`},
 		{"no front", "gateway.json", `"front":`, `"other":`, `listenAddrs.front holds ""`},
-		{"negative tolerance", "gateway.json", `"machines": 1`, `"machines": -1`, `faultTolerance.machines holds -1: a number from 0 on would do`},
-		{"negative grace", "gateway.json", `"graceS": 6`, `"graceS": -6`, `bounds.graceS holds -6: a number from 0 on would do`},
-		{"no beats", "gateway.json", `"beatIntervalMs": 1200`, `"beatIntervalMs": 0`, `beatIntervalMs holds 0: a number over 0 would do`},
-		{"a bound without end", "gateway.json", `"ackMs": 5000`, `"ackMs": 1e300`, `bounds.ackMs holds 1e+300: a number up to 3600000 would do`},
+		{"negative tolerance", "gateway.json", `"machines": 1`, `"machines": -1`, `faultTolerance.machines holds -1: want a number of 0 or more`},
+		{"negative grace", "gateway.json", `"graceS": 6`, `"graceS": -6`, `bounds.graceS holds -6: want a number of 0 or more`},
+		{"no beats", "gateway.json", `"beatIntervalMs": 1200`, `"beatIntervalMs": 0`, `beatIntervalMs holds 0: want a number above 0`},
+		{"a bound without end", "gateway.json", `"ackMs": 5000`, `"ackMs": 1e300`, `bounds.ackMs holds 1e+300: want a number of at most 3600000`},
 		{"platform by name", "gateway.json", `"10.200.0.160:8783"`, `"platform"`, `platformApi.address holds "platform"`},
-		{"wrong type", "gateway.json", `"ackMs": 5000`, `"ackMs": "soon"`, `bounds.ackMs holds JSON of type string: a number would do`},
-		{"list in place of a name", "gateway.json", `"zone": "qro-a"`, `"zone": ["qro-a"]`, `zone holds JSON of type array: a string would do`},
+		{"wrong type", "gateway.json", `"ackMs": 5000`, `"ackMs": "soon"`, `bounds.ackMs holds JSON of type string: want a number`},
+		{"list in place of a name", "gateway.json", `"zone": "qro-a"`, `"zone": ["qro-a"]`, `zone holds JSON of type array: want a string`},
 		{"not JSON", "gateway.json", `"zone": "qro-a",`, `"zone" "qro-a",`, `line 7 is not JSON`},
-		{"no name", "gateway.json", `"edge-qro-a-1"`, `""`, `routerName holds "": a name would do`},
-		{"no disk", "controller.json", `"/data"`, `null`, `dataDir holds "": the directory of a process that serves control_plane would do`},
+		{"no name", "gateway.json", `"edge-qro-a-1"`, `""`, `routerName holds "": want a name`},
+		{"no disk", "controller.json", `"/data"`, `null`, `dataDir holds "": want the directory of a process that serves control_plane`},
 		{"no control address", "controller.json", `"control": "10.1.0.11:8782"`, `"front": "10.1.0.11:8782"`, `listenAddrs.control holds ""`},
 	}
-	for _, refused := range cases {
-		t.Run(refused.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			sound := example(t, refused.file)
-			is.True(strings.Contains(sound, refused.from))
-			_, err := Parse([]byte(strings.Replace(sound, refused.from, refused.to, 1)))
+			sound := readExample(t, test.file)
+			is.True(strings.Contains(sound, test.from))
+			_, err := Parse([]byte(strings.Replace(sound, test.from, test.to, 1)))
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), refused.says)) // names the field, what it holds and what would do
+			is.True(strings.Contains(err.Error(), test.message)) // names the field, its value and what is wanted
 			is.True(!strings.Contains(err.Error(), "\n"))
 		})
 	}
 }
 
-// A bound of zero asks for nothing that can't be tried, and a controller that has its disk knows the others without seeds:
-// neither is worth a process that doesn't start.
+// A bound of zero does not prevent operation, and a controller with its disk knows the others without seeds: a process must start with
+// either.
 func TestUnusualSettingsAreAccepted(t *testing.T) {
 	is := is.New(t)
-	sound := example(t, "controller.json")
+	sound := readExample(t, "controller.json")
 	settings, err := Parse([]byte(strings.Replace(sound, `["10.1.0.11:8782", "10.2.0.8:8782"]`, `[]`, 1)))
 	is.NoErr(err)
 	is.Equal(len(settings.SeedRPCAddresses()), 0)
@@ -103,16 +103,16 @@
 
 func TestTruncatedSettingsAreRefused(t *testing.T) {
 	is := is.New(t)
-	whole := bytes.TrimSpace([]byte(example(t, "controller.json")))
+	whole := bytes.TrimSpace([]byte(readExample(t, "controller.json")))
 	for length := range whole {
 		_, err := Parse(whole[:length])
-		is.True(err != nil) // a file that is being written
+		is.True(err != nil) // as read while the file is being written
 	}
 }
 
 func TestNullKeepsTheDefault(t *testing.T) {
 	is := is.New(t)
-	contents := strings.Replace(example(t, "gateway.json"), `"graceS": 6`, `"graceS": null`, 1)
+	contents := strings.Replace(readExample(t, "gateway.json"), `"graceS": 6`, `"graceS": null`, 1)
 	settings, err := Parse([]byte(contents))
 	is.NoErr(err)
 	is.Equal(settings.Bounds.GraceS, DefaultBounds().GraceS)
--- a/system/watcher.go
+++ b/system/watcher.go
@@ -10,13 +10,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// pollEvery is the time between looks at the settings file, which may change without a signal. A look costs an open, a
-// read and a close.
-const pollEvery = time.Second
+// pollInterval is the time between checks of the settings file, which may change without a signal. A check costs an open, a read and a close.
+const pollInterval = time.Second
 
-// Watch hands out the settings each time that the file has others than before, until the context ends. It looks at the
-// file's contents every second and at each signal on hangup, which may be nil. Only the newest settings wait to be taken.
-// A file that can't be used is told of in the log, once, and the settings stay as they were.
+// Watch sends the settings each time that they change in the file, until the context ends. It checks the file every second and at each
+// signal on hangup, which may be nil. The channel holds only the newest settings. An unusable file is logged once, and the current settings
+// stay in force.
 func Watch(ctx context.Context, path string, current Settings, hangup <-chan os.Signal, log logrus.FieldLogger) <-chan Settings {
 	watcher := newWatcher(path, current, log)
 	go watcher.run(ctx, hangup)
@@ -24,12 +23,12 @@
 }
 
 type watcher struct {
-	path    string
-	log     logrus.FieldLogger
-	seen    []byte // contents at the last look; nil: none yet, or the file couldn't be read
-	problem string // why the file couldn't be read at the last look
-	current Settings
-	changed chan Settings
+	path          string
+	log           logrus.FieldLogger
+	lastContents  []byte // contents that were read last; nil: none yet
+	lastReadError string // why the last check couldn't read the file; "": it could
+	current       Settings
+	changed       chan Settings
 }
 
 func newWatcher(path string, current Settings, log logrus.FieldLogger) *watcher {
@@ -37,7 +36,7 @@
 }
 
 func (w *watcher) run(ctx context.Context, hangup <-chan os.Signal) {
-	poll := time.NewTicker(pollEvery)
+	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	for {
 		select {
@@ -46,46 +45,46 @@
 		case <-hangup:
 		case <-poll.C:
 		}
-		w.look()
+		w.checkFile()
 	}
 }
 
-// look reads the file, and hands out its settings if they are others than before.
-func (w *watcher) look() {
+// checkFile reads the file, and publishes its settings if they have changed.
+func (w *watcher) checkFile() {
 	contents, err := os.ReadFile(w.path)
 	if err != nil {
-		w.note(err)
+		w.logReadError(err)
 		return
 	}
-	w.problem = ""
-	if w.seen != nil && bytes.Equal(contents, w.seen) {
+	w.lastReadError = ""
+	if w.lastContents != nil && bytes.Equal(contents, w.lastContents) {
 		return
 	}
-	w.seen = contents
+	w.lastContents = contents
 	settings, err := Parse(contents)
 	if err != nil {
-		w.log.Errorf("settings stay as they were: %v", err)
+		w.log.Errorf("keeping the current settings: %v", err)
 		return
 	}
 	if reflect.DeepEqual(settings, w.current) {
 		return
 	}
 	w.current = settings
-	w.handOut(settings)
+	w.publish(settings)
 }
 
-// note tells of a file that can't be read, once for each reason in a row.
-func (w *watcher) note(err error) {
-	if w.problem == err.Error() {
+// logReadError logs why the file can't be read, once until the reason changes.
+func (w *watcher) logReadError(err error) {
+	if w.lastReadError == err.Error() {
 		return
 	}
-	w.problem = err.Error()
-	w.log.Errorf("settings stay as they were: %v", err)
+	w.lastReadError = err.Error()
+	w.log.Errorf("keeping the current settings: %v", err)
 }
 
-func (w *watcher) handOut(settings Settings) {
+func (w *watcher) publish(settings Settings) {
 	select {
-	case <-w.changed: // nobody has taken the last ones
+	case <-w.changed: // discards settings that nobody has received
 	default:
 	}
 	w.changed <- settings
--- a/system/watcher_test.go
+++ b/system/watcher_test.go
@@ -17,33 +17,33 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// watched is a watcher on a file of its own, looked at by hand.
-type watched struct {
+// testWatcher is a watcher on a temporary file, which the test checks explicitly.
+type testWatcher struct {
 	*watcher
 	t     *testing.T
 	lines *test.Hook
 }
 
-func watch(t *testing.T) *watched {
+func newTestWatcher(t *testing.T) *testWatcher {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
 	log, lines := test.NewNullLogger()
-	current, err := Parse([]byte(example(t, "controller.json")))
+	current, err := Parse([]byte(readExample(t, "controller.json")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &watched{watcher: newWatcher(path, current, log), t: t, lines: lines}
+	return &testWatcher{watcher: newWatcher(path, current, log), t: t, lines: lines}
 }
 
-func (w *watched) lookAt(contents string) {
+func (w *testWatcher) writeAndCheck(contents string) {
 	w.t.Helper()
 	if err := os.WriteFile(w.path, []byte(contents), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
-	w.look()
+	w.checkFile()
 }
 
-func (w *watched) handedOut() (Settings, bool) {
+func (w *testWatcher) published() (Settings, bool) {
 	select {
 	case settings := <-w.changed:
 		return settings, true
@@ -52,45 +52,45 @@
 	}
 }
 
-func (w *watched) errors() int {
+func (w *testWatcher) errorCount() int {
 	return len(w.lines.AllEntries())
 }
 
 func TestWatcherSendsOnlyChangedSettings(t *testing.T) {
 	is := is.New(t)
-	watcher, sound := watch(t), example(t, "controller.json")
-	watcher.lookAt(sound)
-	watcher.lookAt(sound + "\n\n") // other bytes, the same settings
-	_, changed := watcher.handedOut()
+	watcher, sound := newTestWatcher(t), readExample(t, "controller.json")
+	watcher.writeAndCheck(sound)
+	watcher.writeAndCheck(sound + "\n\n") // different bytes, the same settings
+	_, changed := watcher.published()
 	is.True(!changed)
 
-	watcher.lookAt(strings.Replace(sound, "10.2.0.8:8782", "10.2.0.9:8782", 1))
-	watcher.lookAt(strings.Replace(sound, "10.2.0.8:8782", "10.2.0.10:8782", 1))
-	settings, changed := watcher.handedOut()
+	watcher.writeAndCheck(strings.Replace(sound, "10.2.0.8:8782", "10.2.0.9:8782", 1))
+	watcher.writeAndCheck(strings.Replace(sound, "10.2.0.8:8782", "10.2.0.10:8782", 1))
+	settings, changed := watcher.published()
 	is.True(changed)
 	is.Equal(settings.Seeds[1], "10.2.0.10:8782") // the newest only
-	_, changed = watcher.handedOut()
+	_, changed = watcher.published()
 	is.True(!changed)
 }
 
 func TestWatcherKeepsSettingsWhenTheFileIsBroken(t *testing.T) {
 	is := is.New(t)
-	watcher, sound := watch(t), example(t, "controller.json")
-	watcher.lookAt(sound[:len(sound)/2])
-	watcher.lookAt(sound[:len(sound)/2])
-	is.Equal(watcher.errors(), 1) // one line for one state of the file
+	watcher, sound := newTestWatcher(t), readExample(t, "controller.json")
+	watcher.writeAndCheck(sound[:len(sound)/2])
+	watcher.writeAndCheck(sound[:len(sound)/2])
+	is.Equal(watcher.errorCount(), 1) // one line for each state of the file
 	is.NoErr(os.Remove(watcher.path))
-	watcher.look()
-	watcher.look()
-	is.Equal(watcher.errors(), 2)
-	watcher.lookAt(sound)
-	_, changed := watcher.handedOut()
+	watcher.checkFile()
+	watcher.checkFile()
+	is.Equal(watcher.errorCount(), 2)
+	watcher.writeAndCheck(sound)
+	_, changed := watcher.published()
 	is.True(!changed)
-	watcher.lookAt(strings.Replace(sound, "core-qro-a-1", "core-qro-a-2", 1))
-	settings, changed := watcher.handedOut()
+	watcher.writeAndCheck(strings.Replace(sound, "core-qro-a-1", "core-qro-a-2", 1))
+	settings, changed := watcher.published()
 	is.True(changed)
 	is.Equal(settings.Name, "core-qro-a-2")
-	is.Equal(watcher.errors(), 2)
+	is.Equal(watcher.errorCount(), 2)
 }
 
 func TestWatchReadsFileOnSignalAndPeriodically(t *testing.T) {
@@ -98,7 +98,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	path := filepath.Join(t.TempDir(), "settings.json")
-	sound := example(t, "controller.json")
+	sound := readExample(t, "controller.json")
 	current, err := Parse([]byte(sound))
 	is.NoErr(err)
 	hangup := make(chan os.Signal, 1)
@@ -112,13 +112,13 @@
 		select {
 		case settings := <-changed:
 			is.Equal(settings.Name, name)
-		case <-time.After(20 * pollEvery):
-			t.Fatalf("%s: not handed out", name)
+		case <-time.After(20 * pollInterval):
+			t.Fatalf("%s: not published", name)
 		}
 	}
 }
 
-// replace changes the file as a careful writer does, so that no look meets half of it.
+// replace renames a new file over the old one, so that no check reads a part of it.
 func replace(path, contents string) error {
 	if err := os.WriteFile(path+".new", []byte(contents), 0o600); err != nil {
 		return err
