--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -68,10 +68,10 @@
 		startedAt := c.gateway.elapsed()
 		outcome := c.runFirst(id, statement, flight, receivedAt)
 		c.gateway.recordReplicaResult(flight, outcome, c.gateway.elapsed()-startedAt)
-		verdict := c.session.HandleOutcome(statement, outcome)
-		c.settle(flight, verdict)
+		resolution := c.session.HandleOutcome(statement, outcome)
+		c.settle(flight, resolution)
 		if !mayRunElsewhere(outcome) || c.gateway.elapsed() >= receivedAt+maxPlacementWait(flight.placement) {
-			return verdict.Answer, true
+			return resolution.Answer, true
 		}
 	}
 	return wire.Answer{}, false
@@ -104,15 +104,15 @@
 			return c.session.HandleOutcome(statement, notRun(string(reason))).Answer
 		}
 		outcome := c.runFirst(id, statement, flight, receivedAt)
-		verdict := c.session.HandleOutcome(statement, outcome)
-		c.recordCommit(statement, verdict.Answer)
-		c.settle(flight, verdict)
+		resolution := c.session.HandleOutcome(statement, outcome)
+		c.recordCommit(statement, resolution.Answer)
+		c.settle(flight, resolution)
 		if !isRetryable(outcome) || attempt >= flight.placement.route.MaxAttempts {
-			return verdict.Answer
+			return resolution.Answer
 		}
 		maxWait := maxPlacementWait(flight.placement)
 		if c.gateway.elapsed()+maxWait/retryWaitShare >= receivedAt+maxWait {
-			return verdict.Answer
+			return resolution.Answer
 		}
 		time.Sleep(maxWait / retryWaitShare)
 	}
@@ -210,10 +210,10 @@
 		deadline := time.Now().Add(timeoutOf(flight.placement))
 		outcome = c.run(id, statement, flight, deadline)
 	}
-	verdict := c.session.HandleOutcome(statement, outcome)
-	c.recordCommit(statement, verdict.Answer)
-	c.settle(flight, verdict)
-	return verdict.Answer
+	resolution := c.session.HandleOutcome(statement, outcome)
+	c.recordCommit(statement, resolution.Answer)
+	c.settle(flight, resolution)
+	return resolution.Answer
 }
 
 // recordCommit remembers the position that a commit of this session has reached, which later reads of the session must
@@ -339,11 +339,11 @@
 	return session.Outcome{Kind: session.NotRun, Reason: reason}
 }
 
-// settle does with the backend connection what the verdict says. It runs before the client is answered: a freeze must
+// settle does with the backend connection what the resolution says. It runs before the client is answered: a freeze must
 // not find a flight whose client has its answer, and the client's next statement must find the connection again.
-func (c *client) settle(flight *flight, verdict session.Resolution) {
+func (c *client) settle(flight *flight, resolution session.Resolution) {
 	backend := flight.backend
-	if verdict.Action == session.KeepBackend {
+	if resolution.Action == session.KeepBackend {
 		c.flight = flight
 		c.gateway.markIdle(flight)
 		return
@@ -354,9 +354,9 @@
 		return
 	}
 	pool := backend.pool
-	switch verdict.Action {
+	switch resolution.Action {
 	case session.FreeBackend:
-		backend.state.EndTransaction(verdict.RolledBack)
+		backend.state.EndTransaction(resolution.RolledBack)
 		pool.release(backend)
 	case session.RollbackBackend:
 		pool.rollback(backend)
@@ -372,11 +372,11 @@
 	if flight == nil {
 		return
 	}
-	fate := session.RollbackBackend
+	action := session.RollbackBackend
 	if !c.gateway.resume(flight) {
-		fate = session.CloseBackend
+		action = session.CloseBackend
 	}
-	c.settle(flight, session.Resolution{Action: fate})
+	c.settle(flight, session.Resolution{Action: action})
 }
 
 // handleCutTransaction ends the session's transaction if its connection was cut while it was idle.
--- a/session/backend.go
+++ b/session/backend.go
@@ -7,21 +7,21 @@
 	"eiderway/wire"
 )
 
-// maxPrepared is the most shapes that are left prepared on one backend connection; beyond it the connection is reset.
-const maxPrepared = 128
+// maxPreparedShapes is the number of prepared shapes from which on a backend connection is reset before its next use.
+const maxPreparedShapes = 128
 
-// Backend is what is known of a backend connection: the names prepared there and the values set there.
+// Backend tracks which names are prepared and which values are set on a backend connection.
 type Backend struct {
-	prepared map[string]struct{}
-	values   map[string]string
-	unsure   bool // what is set there isn't known: it must be reset first
-	inside   bool // something was put in order inside the open transaction
+	prepared             map[string]struct{}
+	values               map[string]string
+	hasUnknownState      bool // its prepared names and values are unknown: it must be reset before use
+	changedInTransaction bool // a setup step ran inside the open transaction
 }
 
-// NewBackend describes a connection that was just made.
+// NewBackend returns the state of a new connection.
 func NewBackend() *Backend { return &Backend{} }
 
-// StepKind says what a step puts in order.
+// StepKind is the kind of a setup step.
 type StepKind int
 
 const (
@@ -33,7 +33,7 @@
 	StepPrepare
 )
 
-// Step is one of the system's own statements that must be run on a connection before the client's statement.
+// Step is a statement of the gateway that sets up a connection before the client's statement runs on it.
 type Step struct {
 	Kind  StepKind
 	Name  string
@@ -41,21 +41,21 @@
 	Text  string
 }
 
-// Fit says how well a connection suits a session, for the choice among idle ones.
+// Fit says how little setup a connection needs for a session; among idle connections the best fit is used.
 type Fit int
 
 const (
-	// NeedsReset: the connection must be reset first.
+	// NeedsReset means that the connection must be reset first.
 	NeedsReset Fit = iota
-	// NeedsValues: some values must be set.
+	// NeedsValues means that some values must be set.
 	NeedsValues
-	// Fits: its values are the session's.
+	// Fits means that the connection has exactly the session's values.
 	Fits
 )
 
-// FitOf tells how well the connection suits the session.
+// FitOf returns how well the connection fits the session.
 func (s *Session) FitOf(backend *Backend) Fit {
-	if backend.unsure || len(backend.prepared) >= maxPrepared {
+	if backend.hasUnknownState || len(backend.prepared) >= maxPreparedShapes {
 		return NeedsReset
 	}
 	for name := range backend.values {
@@ -69,21 +69,21 @@
 	return NeedsValues
 }
 
-// SetupSteps are what must be run on the connection, in this order, before the statement. None of them is needed for the
-// end of a transaction.
+// SetupSteps returns the steps that must run on the connection, in this order, before the statement. COMMIT and ABORT need
+// none.
 func (s *Session) SetupSteps(backend *Backend, statement Statement) []Step {
 	if statement.Class == Commit || statement.Class == Abort {
 		return nil
 	}
 	var steps []Step
-	present := backend
+	current := backend
 	if s.state == wire.Idle && s.FitOf(backend) == NeedsReset {
 		steps = append(steps, Step{Kind: StepReset, Text: string(wire.Reset)})
-		present = NewBackend()
+		current = NewBackend()
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.values)) {
 		value := s.values[name]
-		if set, known := present.values[name]; !known || set != value {
+		if set, known := current.values[name]; !known || set != value {
 			steps = append(steps, Step{Kind: StepValue, Name: name, Value: value, Text: wire.SetOptText(name, value)})
 		}
 	}
@@ -91,14 +91,14 @@
 		return steps
 	}
 	name := statement.Prepared.BackendName()
-	if _, known := present.prepared[name]; !known {
+	if _, known := current.prepared[name]; !known {
 		text := wire.PrepareText(name, statement.Prepared.Kind, statement.Prepared.Shape)
 		steps = append(steps, Step{Kind: StepPrepare, Name: name, Text: text})
 	}
 	return steps
 }
 
-// BackendText is the text of the statement as it is sent to an instance.
+// BackendText returns the text of the statement as it is sent to an instance.
 func (statement Statement) BackendText() string {
 	if statement.Prepared == nil {
 		return statement.Text
@@ -106,10 +106,10 @@
 	return wire.RenameExecute(statement.Text, statement.Prepared.BackendName())
 }
 
-// Done records that the instance has carried out the step; inTransaction tells whether that was inside the session's
-// open transaction.
+// RecordStep records that the instance has run the step. inTransaction says whether it ran inside the session's open
+// transaction.
 func (b *Backend) RecordStep(step Step, inTransaction bool) {
-	b.inside = b.inside || inTransaction
+	b.changedInTransaction = b.changedInTransaction || inTransaction
 	switch step.Kind {
 	case StepReset:
 		*b = Backend{}
@@ -126,12 +126,12 @@
 	}
 }
 
-// MarkUnknown records that what is set on the connection isn't known any more.
-func (b *Backend) MarkUnknown() { b.unsure = true }
+// MarkUnknown records that the prepared names and values of the connection are no longer known.
+func (b *Backend) MarkUnknown() { b.hasUnknownState = true }
 
-// EndTransaction records that the transaction on the connection has ended. After a rollback it isn't known whether what was
-// put in order inside the transaction still holds.
+// EndTransaction records that the transaction on the connection has ended. After a rollback it is unknown whether setup
+// steps that ran inside the transaction are still in effect.
 func (b *Backend) EndTransaction(rolledBack bool) {
-	b.unsure = b.unsure || (rolledBack && b.inside)
-	b.inside = false
+	b.hasUnknownState = b.hasUnknownState || (rolledBack && b.changedInTransaction)
+	b.changedInTransaction = false
 }
--- a/session/outcome.go
+++ b/session/outcome.go
@@ -4,196 +4,198 @@
 	"eiderway/wire"
 )
 
-// OutcomeKind says how the try to run a statement ended.
+// OutcomeKind says how an attempt to run a statement ended.
 type OutcomeKind int
 
 const (
-	// Answered by the instance.
+	// Answered means that the instance answered.
 	Answered OutcomeKind = iota
-	// NotRun: the statement was not sent, so it hasn't been run and won't be.
+	// NotRun means that the statement was not sent, so it has not been run and won't be.
 	NotRun
-	// Lost: it was sent, and the connection ended without an answer.
+	// Lost means that the statement was sent, and the connection ended without an answer.
 	Lost
-	// TimedOut: it was sent, and its time ran out before an answer.
+	// TimedOut means that the statement was sent, and its deadline passed without an answer.
 	TimedOut
 )
 
-// Outcome is how the try to run a statement ended.
+// Outcome describes how an attempt to run a statement ended.
 type Outcome struct {
 	Kind   OutcomeKind
 	Answer wire.Answer // with Answered
 	Reason string      // of NotRun, for the client
-	Intact bool        // of NotRun: the connection is sound, and in the state that it was in before
-	Stale  bool        // the gateway's right to use the leader didn't last from the sending to the answer
+	Intact bool        // of NotRun: the connection still works and its state is unchanged
+	Stale  bool        // the gateway's lease on the leader ended between the sending of the statement and the answer
 }
 
-// BackendAction says what becomes of the backend connection.
+// BackendAction says what to do with the backend connection.
 type BackendAction int
 
 const (
-	// KeepBackend keeps it for the session's open transaction.
+	// KeepBackend keeps the connection for the session's open transaction.
 	KeepBackend BackendAction = iota
-	// FreeBackend gives it back: another session may use it.
+	// FreeBackend returns the connection to the pool: another session may use it.
 	FreeBackend
-	// RollbackBackend rolls its transaction back, then frees it.
+	// RollbackBackend rolls back the transaction on the connection, then frees the connection.
 	RollbackBackend
-	// CloseBackend closes it.
+	// CloseBackend closes the connection.
 	CloseBackend
 )
 
-// Resolution is what the client is told, and what becomes of the backend connection.
+// Resolution is the answer to the client, and what to do with the backend connection.
 type Resolution struct {
 	Answer wire.Answer
 	Action BackendAction
 
-	// RolledBack tells, with FreeBackend, that a transaction on the connection was rolled back rather than committed.
+	// RolledBack says, with FreeBackend, that a transaction on the connection was rolled back rather than committed.
 	RolledBack bool
 }
 
-// HandleOutcome judges how a statement that HandleQuery handed out has ended.
+// HandleOutcome decides on the outcome of a statement that HandleQuery returned.
 func (s *Session) HandleOutcome(statement Statement, outcome Outcome) Resolution {
-	inside := s.state == wire.InTransaction
-	verdict := s.judge(statement, outcome)
+	wasInTransaction := s.state == wire.InTransaction
+	resolution := s.resolve(statement, outcome)
 	committed := statement.Class == Commit && outcome.Answer.Code == ""
-	verdict.RolledBack = inside && verdict.Action == FreeBackend && !committed
-	return verdict
+	resolution.RolledBack = wasInTransaction && resolution.Action == FreeBackend && !committed
+	return resolution
 }
 
-func (s *Session) judge(statement Statement, outcome Outcome) Resolution {
+func (s *Session) resolve(statement Statement, outcome Outcome) Resolution {
 	switch statement.Class {
 	case Begin:
-		return s.beginEnded(outcome)
+		return s.resolveBegin(outcome)
 	case Commit:
-		return s.commitEnded(outcome)
+		return s.resolveCommit(outcome)
 	case Abort:
-		return s.abortEnded(outcome)
+		return s.resolveAbort(outcome)
 	}
 	if s.state == wire.InTransaction {
-		return s.insideEnded(outcome)
+		return s.resolveInTransaction(outcome)
 	}
-	return s.singleEnded(statement.Class, outcome)
+	return s.resolveSingle(statement.Class, outcome)
 }
 
-// singleEnded judges a read or write outside a transaction. The state stays I.
-func (s *Session) singleEnded(class Class, outcome Outcome) Resolution {
+// resolveSingle resolves a read or write outside a transaction. The state stays I.
+func (s *Session) resolveSingle(class Class, outcome Outcome) Resolution {
 	answer := outcome.Answer
 	switch {
 	case outcome.Kind == NotRun:
-		return refused(wire.Busy, outcome.Reason, wire.Idle, intact(outcome, FreeBackend))
+		return refusal(wire.Busy, outcome.Reason, wire.Idle, actionIfIntact(outcome, FreeBackend))
 	case outcome.Kind == TimedOut:
-		return refused(wire.Timeout, "", wire.Idle, CloseBackend)
+		return refusal(wire.Timeout, "", wire.Idle, CloseBackend)
 	case outcome.Kind == Lost:
-		return refused(unknown(class), "", wire.Idle, CloseBackend)
+		return refusal(unknownOutcomeCode(class), "", wire.Idle, CloseBackend)
 	case answer.Code == wire.NoStmt:
-		return refused(wire.Busy, outOfSync, wire.Idle, CloseBackend)
+		return refusal(wire.Busy, lostPreparedName, wire.Idle, CloseBackend)
 	case answer.Code != "":
 		answer.State = wire.Idle
 		return Resolution{Answer: answer, Action: freeIfIdle(outcome.Answer)}
 	case answer.State != wire.Idle || outcome.Stale:
-		return refused(unknown(class), "", wire.Idle, freeIfIdle(answer))
+		return refusal(unknownOutcomeCode(class), "", wire.Idle, freeIfIdle(answer))
 	}
 	return Resolution{Answer: answer, Action: FreeBackend}
 }
 
-// unknown is what a client is told when it isn't known whether its single statement ran: a read keeps nothing.
-func unknown(class Class) wire.Code {
+// unknownOutcomeCode returns the code for a single statement that may or may not have run. BUSY promises that it had no
+// effect, which holds for any read.
+func unknownOutcomeCode(class Class) wire.Code {
 	if class == Write {
 		return wire.InDoubt
 	}
 	return wire.Busy
 }
 
-func (s *Session) beginEnded(outcome Outcome) Resolution {
+func (s *Session) resolveBegin(outcome Outcome) Resolution {
 	answer := outcome.Answer
 	switch {
 	case outcome.Kind == TimedOut:
-		return refused(wire.Timeout, "", wire.Idle, CloseBackend)
+		return refusal(wire.Timeout, "", wire.Idle, CloseBackend)
 	case outcome.Kind != Answered:
-		return refused(wire.Busy, outcome.Reason, wire.Idle, intact(outcome, FreeBackend))
+		return refusal(wire.Busy, outcome.Reason, wire.Idle, actionIfIntact(outcome, FreeBackend))
 	case answer.Code != "":
 		answer.State = wire.Idle
 		return Resolution{Answer: answer, Action: freeIfIdle(outcome.Answer)}
 	case answer.State != wire.InTransaction:
-		return refused(wire.Busy, "", wire.Idle, CloseBackend)
+		return refusal(wire.Busy, "", wire.Idle, CloseBackend)
 	case outcome.Stale:
-		return refused(wire.Busy, "", wire.Idle, RollbackBackend)
+		return refusal(wire.Busy, "", wire.Idle, RollbackBackend)
 	}
 	s.state = wire.InTransaction
 	return Resolution{Answer: answer, Action: KeepBackend}
 }
 
-// insideEnded judges a read or write inside a transaction: its COMMIT hasn't been sent, so an end of the connection
-// rolls it back.
-func (s *Session) insideEnded(outcome Outcome) Resolution {
+// resolveInTransaction resolves a read or write inside a transaction. COMMIT has not been sent, so the transaction is
+// rolled back when the connection ends.
+func (s *Session) resolveInTransaction(outcome Outcome) Resolution {
 	answer := outcome.Answer
 	switch {
 	case outcome.Kind == TimedOut:
 		return s.fail(wire.Timeout, "", CloseBackend)
 	case outcome.Kind != Answered:
-		return s.fail(wire.RolledBack, outcome.Reason, intact(outcome, RollbackBackend))
+		return s.fail(wire.RolledBack, outcome.Reason, actionIfIntact(outcome, RollbackBackend))
 	case answer.Code == wire.NoStmt:
-		return s.fail(wire.RolledBack, outOfSync, CloseBackend)
+		return s.fail(wire.RolledBack, lostPreparedName, CloseBackend)
 	case answer.Code != "":
-		verdict := s.fail(answer.Code, answer.Text, rollbackUnlessIdle(answer))
-		verdict.Answer.Position = answer.Position
-		return verdict
+		resolution := s.fail(answer.Code, answer.Text, rollbackUnlessIdle(answer))
+		resolution.Answer.Position = answer.Position
+		return resolution
 	case answer.State != wire.InTransaction:
 		return s.fail(wire.RolledBack, "", CloseBackend)
 	}
 	return Resolution{Answer: answer, Action: KeepBackend}
 }
 
-// fail ends the transaction with an error; the client has to end it too.
-func (s *Session) fail(code wire.Code, text string, fate BackendAction) Resolution {
-	s.leave(wire.Failed)
-	return refused(code, text, wire.Failed, fate)
+// fail puts the session into state E with an error; the client still has to end the transaction.
+func (s *Session) fail(code wire.Code, text string, action BackendAction) Resolution {
+	s.endTransaction(wire.Failed)
+	return refusal(code, text, wire.Failed, action)
 }
 
-func (s *Session) commitEnded(outcome Outcome) Resolution {
+func (s *Session) resolveCommit(outcome Outcome) Resolution {
 	wrote := s.wrote
 	answer := outcome.Answer
-	s.leave(wire.Idle)
+	s.endTransaction(wire.Idle)
 	switch {
 	case outcome.Kind == NotRun:
-		return refused(wire.RolledBack, outcome.Reason, wire.Idle, intact(outcome, RollbackBackend))
+		return refusal(wire.RolledBack, outcome.Reason, wire.Idle, actionIfIntact(outcome, RollbackBackend))
 	case outcome.Kind == TimedOut:
-		return refused(wire.Timeout, "", wire.Idle, CloseBackend)
+		return refusal(wire.Timeout, "", wire.Idle, CloseBackend)
 	case outcome.Kind == Lost && wrote:
-		return refused(wire.InDoubt, "", wire.Idle, CloseBackend)
+		return refusal(wire.InDoubt, "", wire.Idle, CloseBackend)
 	case outcome.Kind == Lost:
-		return refused(wire.RolledBack, "", wire.Idle, CloseBackend)
+		return refusal(wire.RolledBack, "", wire.Idle, CloseBackend)
 	case answer.Code != "":
 		answer.State = wire.Idle
 		return Resolution{Answer: answer, Action: rollbackUnlessIdle(outcome.Answer)}
 	case wrote && (outcome.Stale || answer.State != wire.Idle):
-		return refused(wire.InDoubt, "", wire.Idle, freeIfIdle(answer))
+		return refusal(wire.InDoubt, "", wire.Idle, freeIfIdle(answer))
 	case answer.State != wire.Idle:
-		return refused(wire.RolledBack, "", wire.Idle, CloseBackend)
+		return refusal(wire.RolledBack, "", wire.Idle, CloseBackend)
 	}
 	return Resolution{Answer: answer, Action: FreeBackend}
 }
 
-// abortEnded: whatever came of it at the instance, the transaction is rolled back, since a connection that didn't say
-// so is closed.
-func (s *Session) abortEnded(outcome Outcome) Resolution {
-	s.leave(wire.Idle)
+// resolveAbort resolves an ABORT. The transaction is rolled back in any case: a connection on which the instance didn't
+// confirm it is closed.
+func (s *Session) resolveAbort(outcome Outcome) Resolution {
+	s.endTransaction(wire.Idle)
 	if outcome.Kind == Answered && outcome.Answer.Code == "" && outcome.Answer.State == wire.Idle {
 		return Resolution{Answer: outcome.Answer, Action: FreeBackend}
 	}
 	return Resolution{Answer: wire.Completed(wire.Idle), Action: CloseBackend}
 }
 
-func refused(code wire.Code, text string, state wire.State, fate BackendAction) Resolution {
-	return Resolution{Answer: wire.Refusal(code, text, state), Action: fate}
+func refusal(code wire.Code, text string, state wire.State, action BackendAction) Resolution {
+	return Resolution{Answer: wire.Refusal(code, text, state), Action: action}
 }
 
-// outOfSync tells that the instance doesn't know a name that was prepared there. It has not run the statement.
-const outOfSync = "the backend connection lost a prepared name"
+// lostPreparedName is the text of the answer when the instance doesn't know a name that was prepared there. The instance
+// has not run the statement.
+const lostPreparedName = "the backend connection lost a prepared name"
 
-// intact is the fate of a connection on which the statement was not run: as given if it is sound.
-func intact(outcome Outcome, fate BackendAction) BackendAction {
+// actionIfIntact returns the action if the statement was not run and the connection is intact, and CloseBackend otherwise.
+func actionIfIntact(outcome Outcome, action BackendAction) BackendAction {
 	if outcome.Kind == NotRun && outcome.Intact {
-		return fate
+		return action
 	}
 	return CloseBackend
 }
--- a/session/prepared.go
+++ b/session/prepared.go
@@ -13,12 +13,12 @@
 	Shape string
 }
 
-// longestPlainShape is the longest shape, in bytes, that becomes a name as it is.
+// longestPlainShape is the length in bytes up to which a shape is used in its backend name verbatim.
 const longestPlainShape = 32
 
-// BackendName is the name under which the shape is prepared on backend connections. It follows from kind and shape
-// alone, so that sessions with the same shape share it whatever they call it themselves, and no two shapes have the
-// same: names of plain shapes are marked f or p, others are digests marked F or P.
+// BackendName returns the name under which the shape is prepared on backend connections. It depends on kind and shape
+// alone, so sessions with the same shape share it whatever name they use themselves, and no two shapes have the same name:
+// names of plain shapes start with f or p, the others are digests that start with F or P.
 func (p Prepared) BackendName() string {
 	if isPlain(p.Shape) {
 		if p.Kind == wire.Put {
@@ -48,58 +48,58 @@
 	return true
 }
 
-// takeOwn answers SETOPT, PREPARE and RELEASE, which the session keeps at the gateway.
-func (s *Session) takeOwn(statement wire.Statement) Decision {
+// handleLocally answers SETOPT, PREPARE and RELEASE, whose effects the session stores at the gateway.
+func (s *Session) handleLocally(statement wire.Statement) Decision {
 	switch statement.Verb {
 	case wire.SetOpt:
-		if !s.keepValue(statement.Name, statement.Value) {
+		if !s.storeValue(statement.Name, statement.Value) {
 			return s.refuse(wire.Malformed, "too many session values")
 		}
 	case wire.Prepare:
-		if !s.keepName(statement.Name, Prepared{Kind: statement.Kind, Shape: statement.Shape}) {
+		if !s.storePrepared(statement.Name, Prepared{Kind: statement.Kind, Shape: statement.Shape}) {
 			return s.refuse(wire.Malformed, "too many prepared names")
 		}
 	case wire.Release:
-		prepared, known := s.names[statement.Name]
+		prepared, known := s.prepared[statement.Name]
 		if !known {
 			return s.refuse(wire.NoStmt, statement.Name)
 		}
-		s.keptBytes -= len(statement.Name) + len(prepared.Shape)
-		delete(s.names, statement.Name)
+		s.storedBytes -= len(statement.Name) + len(prepared.Shape)
+		delete(s.prepared, statement.Name)
 	}
-	return local(wire.Completed(s.state))
+	return answerLocally(wire.Completed(s.state))
 }
 
-func (s *Session) keepName(name string, prepared Prepared) bool {
-	old, known := s.names[name]
-	bytes := s.keptBytes + len(name) + len(prepared.Shape)
+func (s *Session) storePrepared(name string, prepared Prepared) bool {
+	old, known := s.prepared[name]
+	bytes := s.storedBytes + len(name) + len(prepared.Shape)
 	if known {
 		bytes -= len(name) + len(old.Shape)
 	}
-	if len(name) > maxNameLength || bytes > maxKeptBytes || (!known && len(s.names) == maxNames) {
+	if len(name) > maxNameLength || bytes > maxStoredBytes || (!known && len(s.prepared) == maxPreparedNames) {
 		return false
 	}
-	if s.names == nil {
-		s.names = map[string]Prepared{}
+	if s.prepared == nil {
+		s.prepared = map[string]Prepared{}
 	}
-	s.names[name] = prepared
-	s.keptBytes = bytes
+	s.prepared[name] = prepared
+	s.storedBytes = bytes
 	return true
 }
 
-func (s *Session) keepValue(name, value string) bool {
+func (s *Session) storeValue(name, value string) bool {
 	old, known := s.values[name]
-	bytes := s.keptBytes + len(name) + len(value)
+	bytes := s.storedBytes + len(name) + len(value)
 	if known {
 		bytes -= len(name) + len(old)
 	}
-	if len(name) > maxNameLength || bytes > maxKeptBytes || (!known && len(s.values) == maxValues) {
+	if len(name) > maxNameLength || bytes > maxStoredBytes || (!known && len(s.values) == maxValues) {
 		return false
 	}
 	if s.values == nil {
 		s.values = map[string]string{}
 	}
 	s.values[name] = value
-	s.keptBytes = bytes
+	s.storedBytes = bytes
 	return true
 }
--- a/session/scenario_test.go
+++ b/session/scenario_test.go
@@ -11,19 +11,19 @@
 	"eiderway/wire"
 )
 
-// A scenario is a text file with one session and its backend connections. Its lines:
+// TestScenarios plays the files in testdata. Each has one session and its backend connections, and these lines:
 //
-//	backend NAME            the connection that the next statement runs on
-//	> TEXT                  the client asks
-//	run CLASS [first] TEXT  HandleQuery wants this run, and this is the text that is sent
-//	step TEXT               a step that must be run before, in this order
-//	answered ANSWER         how it ends: ROW and COMPLETE or ERROR, then "/ STATE POSITION"
-//	stale ANSWER            the same, and the right to the leader didn't last
-//	lost | timedout | notrun | intact
-//	= ANSWER                what the client is told
-//	fate keep|free|rollback|close
+//	backend NAME            the next statement runs on this connection
+//	> TEXT                  the client sends a statement
+//	run CLASS [first] TEXT  HandleQuery wants a statement run; TEXT is what is sent
+//	step TEXT               a setup step that must run before the statement, in this order
+//	answered ANSWER         the instance's answer: ROW and COMPLETE or ERROR, then "/ STATE POSITION"
+//	stale ANSWER            the same, but the lease on the leader ended before the answer
+//	lost | timedout | notrun | intact   other outcomes
+//	= ANSWER                the answer to the client
+//	fate keep|free|rollback|close   what to do with the backend connection
 //	rollback                a local answer wants the transaction rolled back
-//	rested                  the transaction is rolled back while nothing is asked
+//	rested                  the transaction is rolled back between statements
 func TestScenarios(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(paths) == 0 {
@@ -34,16 +34,16 @@
 	}
 }
 
-type player struct {
+type scenarioPlayer struct {
 	*testing.T
-	place    string
-	session  *Session
-	backends map[string]*Backend
-	backend  *Backend
-	decision Decision
-	steps    []Step
-	verdict  Resolution
-	open     map[string]bool // what must still be named in the scenario
+	place      string
+	session    *Session
+	backends   map[string]*Backend
+	backend    *Backend
+	decision   Decision
+	steps      []Step
+	resolution Resolution
+	pending    map[string]bool // results that the scenario must still check
 }
 
 func playScenario(t *testing.T, path string) {
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	play := &player{T: t, session: New(), backends: map[string]*Backend{}, open: map[string]bool{}}
+	play := &scenarioPlayer{T: t, session: New(), backends: map[string]*Backend{}, pending: map[string]bool{}}
 	lines := bufio.NewScanner(file)
 	for number := 1; lines.Scan(); number++ {
 		line := strings.TrimRight(lines.Text(), "\n")
@@ -63,44 +63,44 @@
 		word, fields, _ := strings.Cut(line, " ")
 		play.line(word, fields)
 	}
-	play.allNamed()
+	play.checkNothingPending()
 }
 
-func (p *player) line(word, fields string) {
+func (p *scenarioPlayer) line(word, fields string) {
 	p.Helper()
 	switch word {
 	case "backend":
-		p.pick(fields)
+		p.useBackend(fields)
 	case ">":
-		p.ask(fields)
+		p.query(fields)
 	case "run":
-		p.named("run")
+		p.expectPending("run")
 		p.checkRun(fields)
 	case "step":
 		p.checkStep(fields)
 	case "answered":
-		p.end(Outcome{Kind: Answered, Answer: p.answer(fields)})
+		p.finish(Outcome{Kind: Answered, Answer: p.answer(fields)})
 	case "stale":
-		p.end(Outcome{Kind: Answered, Answer: p.answer(fields), Stale: true})
+		p.finish(Outcome{Kind: Answered, Answer: p.answer(fields), Stale: true})
 	case "lost":
-		p.end(Outcome{Kind: Lost})
+		p.finish(Outcome{Kind: Lost})
 	case "timedout":
-		p.end(Outcome{Kind: TimedOut})
+		p.finish(Outcome{Kind: TimedOut})
 	case "notrun":
-		p.end(Outcome{Kind: NotRun, Reason: "reason"})
+		p.finish(Outcome{Kind: NotRun, Reason: "reason"})
 	case "intact":
-		p.end(Outcome{Kind: NotRun, Reason: "reason", Intact: true})
+		p.finish(Outcome{Kind: NotRun, Reason: "reason", Intact: true})
 	case "=":
-		p.named("answer")
+		p.expectPending("answer")
 		p.checkAnswer(fields)
 	case "fate":
-		p.named("fate")
-		p.checkFate(fields)
+		p.expectPending("fate")
+		p.checkBackendAction(fields)
 	case "rollback":
-		p.named("rollback")
+		p.expectPending("rollback")
 		p.backend.EndTransaction(true)
 	case "rested":
-		p.allNamed()
+		p.checkNothingPending()
 		p.session.HandleRollback()
 		p.backend.EndTransaction(true)
 	default:
@@ -108,25 +108,25 @@
 	}
 }
 
-func (p *player) named(what string) {
+func (p *scenarioPlayer) expectPending(what string) {
 	p.Helper()
-	if !p.open[what] {
-		p.Fatalf("%s: there is no %s now", p.place, what)
+	if !p.pending[what] {
+		p.Fatalf("%s: unexpected check of %s", p.place, what)
 	}
-	delete(p.open, what)
+	delete(p.pending, what)
 }
 
-func (p *player) allNamed() {
+func (p *scenarioPlayer) checkNothingPending() {
 	p.Helper()
-	for what := range p.open {
-		p.Fatalf("%s: the %s before wasn't named", p.place, what)
+	for what := range p.pending {
+		p.Fatalf("%s: the scenario did not check the previous %s", p.place, what)
 	}
 	if len(p.steps) > 0 {
-		p.Fatalf("%s: the step %q before wasn't named", p.place, p.steps[0].Text)
+		p.Fatalf("%s: the scenario did not check the previous step %q", p.place, p.steps[0].Text)
 	}
 }
 
-func (p *player) pick(name string) {
+func (p *scenarioPlayer) useBackend(name string) {
 	p.backend = p.backends[name]
 	if p.backend == nil {
 		p.backend = NewBackend()
@@ -134,25 +134,25 @@
 	}
 }
 
-func (p *player) ask(text string) {
+func (p *scenarioPlayer) query(text string) {
 	p.Helper()
-	p.allNamed()
+	p.checkNothingPending()
 	p.decision = p.session.HandleQuery(text)
 	if !p.decision.Local {
-		p.open["run"] = true
+		p.pending["run"] = true
 		p.steps = p.session.SetupSteps(p.backend, p.decision.Statement)
 		return
 	}
-	p.verdict = Resolution{Answer: p.decision.Answer}
-	p.open["answer"] = true
+	p.resolution = Resolution{Answer: p.decision.Answer}
+	p.pending["answer"] = true
 	if p.decision.Rollback {
-		p.open["rollback"] = true
+		p.pending["rollback"] = true
 	}
 }
 
 var classNames = map[Class]string{Read: "read", Write: "write", Begin: "begin", Commit: "commit", Abort: "abort"}
 
-func (p *player) checkRun(want string) {
+func (p *scenarioPlayer) checkRun(want string) {
 	p.Helper()
 	got := classNames[p.decision.Statement.Class] + " "
 	if p.decision.NeedsConnection {
@@ -160,25 +160,25 @@
 	}
 	got += p.decision.Statement.BackendText()
 	if got != want {
-		p.Fatalf("%s: run %s", p.place, got)
+		p.Fatalf("%s: got run %s", p.place, got)
 	}
 }
 
-func (p *player) checkStep(want string) {
+func (p *scenarioPlayer) checkStep(want string) {
 	p.Helper()
 	if len(p.steps) == 0 || p.steps[0].Text != want {
-		p.Fatalf("%s: steps %+v", p.place, p.steps)
+		p.Fatalf("%s: got steps %+v", p.place, p.steps)
 	}
 	p.backend.RecordStep(p.steps[0], p.session.HasOpenTransaction())
 	p.steps = p.steps[1:]
 }
 
-// answer reads an answer: "ROW r; COMPLETE stamp / T 3.1" or "ERROR code text / E -".
-func (p *player) answer(text string) wire.Answer {
+// answer parses an answer: "ROW r; COMPLETE stamp / T 3.1" or "ERROR code text / E -".
+func (p *scenarioPlayer) answer(text string) wire.Answer {
 	p.Helper()
 	body, ready, found := strings.Cut(text, " / ")
 	if !found {
-		p.Fatalf("%s: no state", p.place)
+		p.Fatalf("%s: the answer has no state", p.place)
 	}
 	message := strings.ReplaceAll(body, "; ", "\r\n") + "\r\nREADY " + ready + "\r\n"
 	answer, err := wire.NewReader(strings.NewReader(message)).ReadAnswer()
@@ -188,41 +188,41 @@
 	return answer
 }
 
-func (p *player) end(outcome Outcome) {
+func (p *scenarioPlayer) finish(outcome Outcome) {
 	p.Helper()
 	if len(p.steps) > 0 && outcome.Kind != NotRun {
-		p.Fatalf("%s: the step %q wasn't run", p.place, p.steps[0].Text)
+		p.Fatalf("%s: the step %q was not run", p.place, p.steps[0].Text)
 	}
 	p.steps = nil
-	p.verdict = p.session.HandleOutcome(p.decision.Statement, outcome)
-	if p.verdict.Answer.State != p.session.State() {
-		p.Fatalf("%s: the client is told %c and the session is in %c", p.place, p.verdict.Answer.State, p.session.State())
+	p.resolution = p.session.HandleOutcome(p.decision.Statement, outcome)
+	if p.resolution.Answer.State != p.session.State() {
+		p.Fatalf("%s: the client is told state %c, but the session is in %c", p.place, p.resolution.Answer.State, p.session.State())
 	}
-	switch p.verdict.Action {
+	switch p.resolution.Action {
 	case FreeBackend:
-		p.backend.EndTransaction(p.verdict.RolledBack)
+		p.backend.EndTransaction(p.resolution.RolledBack)
 	case RollbackBackend:
 		p.backend.EndTransaction(true)
 	}
-	p.open["answer"], p.open["fate"] = true, true
+	p.pending["answer"], p.pending["fate"] = true, true
 }
 
-func (p *player) checkAnswer(want string) {
+func (p *scenarioPlayer) checkAnswer(want string) {
 	p.Helper()
-	got := string(wire.AppendAnswer(nil, p.verdict.Answer))
+	got := string(wire.AppendAnswer(nil, p.resolution.Answer))
 	got = strings.TrimSuffix(got, "\r\n")
 	body, ready, _ := strings.Cut(got, "\r\nREADY ")
 	got = strings.ReplaceAll(body, "\r\n", "; ") + " / " + ready
 	if got != want {
-		p.Fatalf("%s: the client is told %s", p.place, got)
+		p.Fatalf("%s: got answer %s", p.place, got)
 	}
 }
 
-var fateNames = map[BackendAction]string{KeepBackend: "keep", FreeBackend: "free", RollbackBackend: "rollback", CloseBackend: "close"}
+var backendActionNames = map[BackendAction]string{KeepBackend: "keep", FreeBackend: "free", RollbackBackend: "rollback", CloseBackend: "close"}
 
-func (p *player) checkFate(want string) {
+func (p *scenarioPlayer) checkBackendAction(want string) {
 	p.Helper()
-	if got := fateNames[p.verdict.Action]; got != want {
-		p.Fatalf("%s: fate %s", p.place, got)
+	if got := backendActionNames[p.resolution.Action]; got != want {
+		p.Fatalf("%s: got fate %s", p.place, got)
 	}
 }
--- a/session/session.go
+++ b/session/session.go
@@ -1,126 +1,128 @@
-// Package session decides what happens in a client's session: which statements are answered at the gateway, what must
-// be put in order on a backend connection before a statement may run there, and what an answer, a broken connection
-// or a time-out means for the client.
+// Package session implements the state machine of a client's session: which statements the gateway answers itself, how a
+// backend connection must be set up before it may run a statement, and what an answer, a broken connection or a timeout
+// means for the client.
 //
-// It does no I/O and knows no clocks. The gateway asks HandleQuery what to do with a text, runs what it says, and asks HandleOutcome
-// what the client is told and what becomes of the backend connection. Two things hold throughout:
+// It does no I/O and reads no clocks. The gateway passes each statement to HandleQuery, runs it on a backend connection if
+// asked to, and passes the outcome to HandleOutcome, which returns the client's answer and what to do with the connection.
+// Two invariants hold:
 //
-//   - A promise that nothing of a try is kept is given only where that is known: the statement was not sent, the
-//     instance says so, or the transaction's COMMIT was never sent and its connection is rolled back or closed.
-//   - A session in state E has no backend connection. The transaction is rolled back at once, and its end is answered
-//     here. So nothing that a client sends after an error can reach an instance and be kept.
+//   - The client is promised that a statement had no effect only if that is certain: it was not sent, the instance said so,
+//     or the transaction's COMMIT was never sent and its connection is rolled back or closed.
+//   - A session in state E has no backend connection. The transaction is rolled back at once, and the statement that ends
+//     it is answered here. Nothing that a client sends after an error can reach an instance and be committed.
 package session
 
 import (
 	"eiderway/wire"
 )
 
-// maxStatements is the most reads and writes of one transaction; the protocol sets it.
+// maxStatements is the largest number of reads and writes in one transaction; the protocol sets it.
 const maxStatements = 12
 
-// Bounds of what a session may keep at the gateway. Clients use a few; these keep memory bounded with thousands of
-// sessions.
+// Limits on what a session may store at the gateway. Clients use little of it; the limits bound the gateway's memory with
+// thousands of sessions.
 const (
-	maxNames      = 64       // prepared names
-	maxValues     = 64       // session values
-	maxKeptBytes  = 16 << 10 // of names, shapes and values together
-	maxNameLength = 256      // bytes of a prepared name or of a value's name
+	maxPreparedNames = 64
+	maxValues        = 64       // session values
+	maxStoredBytes   = 16 << 10 // names, shapes and values together
+	maxNameLength    = 256      // in bytes, of a prepared name or of a value's name
 )
 
-// Class says how a statement is run at an instance.
+// Class is the kind of a statement that an instance runs.
 type Class int
 
 const (
-	// Read keeps nothing: FETCH, and EXECUTE of a FETCH.
+	// Read changes nothing: FETCH, and EXECUTE of a FETCH.
 	Read Class = iota
-	// Write: PUT, and EXECUTE of a PUT.
+	// Write is a PUT, or an EXECUTE of a PUT.
 	Write
 	// Begin opens a transaction.
 	Begin
-	// Commit ends it and keeps its writes.
+	// Commit ends the transaction and commits its writes.
 	Commit
-	// Abort ends it and keeps nothing.
+	// Abort ends the transaction and rolls it back.
 	Abort
 )
 
-// Statement is a statement that must run at an instance.
+// Statement is a statement that an instance must run.
 type Statement struct {
 	Class    Class
 	Text     string    // as the client sent it
-	Prepared *Prepared // for an EXECUTE: what its name stands for
+	Prepared *Prepared // of EXECUTE: what its name stands for
 
-	ReadOnly bool // it keeps nothing, nor does the transaction that it opens: a replica may run it
+	ReadOnly bool // neither it nor the transaction that it begins writes anything, so a replica may run it
 }
 
-// Decision says what to do with a text that the client sent.
+// Decision says what to do with a statement that the client sent.
 type Decision struct {
-	Local           bool        // answer with Answer; nothing is run
+	Local           bool        // the gateway replies with Answer and runs nothing
 	Answer          wire.Answer // with Local
-	Rollback        bool        // with Local: the backend connection's transaction must be rolled back now
+	Rollback        bool        // with Local: the transaction on the backend connection must be rolled back now
 	Statement       Statement   // without Local
-	NeedsConnection bool        // without Local: the statement stands outside a transaction or begins one, and needs a connection
+	NeedsConnection bool        // without Local: the statement begins a transaction or is outside one, so it has no backend connection yet
 }
 
 // Session is the state of one client's session.
 type Session struct {
-	state      wire.State
-	wrote      bool // the transaction has sent a write
-	statements int  // reads and writes of the transaction
-	untold     bool // the transaction was rolled back while the client rested, and it hasn't heard of it
-	names      map[string]Prepared
-	values     map[string]string
-	keptBytes  int
+	state                 wire.State
+	wrote                 bool                // the transaction has sent a write
+	statements            int                 // number of reads and writes in the transaction
+	hasUnreportedRollback bool                // the transaction was rolled back between statements, and the client has not been told
+	prepared              map[string]Prepared // by the client's names
+	values                map[string]string
+	storedBytes           int
 }
 
-// New makes the session of a client that has just connected.
+// New returns the session of a client that has just connected.
 func New() *Session { return &Session{state: wire.Idle} }
 
-// State is the state that the client was told last.
+// State returns the state that the client was last told.
 func (s *Session) State() wire.State { return s.state }
 
-// HasOpenTransaction tells whether a transaction is open at an instance.
+// HasOpenTransaction reports whether a transaction is open at an instance.
 func (s *Session) HasOpenTransaction() bool { return s.state == wire.InTransaction }
 
-// IsFirstOperation tells whether the statement, which was taken last, is the first read or write of the open transaction.
+// IsFirstOperation reports whether the statement, which HandleQuery returned last, is the first read or write of the open
+// transaction.
 func (s *Session) IsFirstOperation(statement Statement) bool {
-	runs := statement.Class == Read || statement.Class == Write
-	return runs && s.HasOpenTransaction() && s.statements == 1
+	isOperation := statement.Class == Read || statement.Class == Write
+	return isOperation && s.HasOpenTransaction() && s.statements == 1
 }
 
-// HasWritten tells whether the open transaction has sent a write.
+// HasWritten reports whether a write of the open transaction has been sent.
 func (s *Session) HasWritten() bool { return s.wrote }
 
 // HandleQuery decides what to do with the text of a QUERY.
 func (s *Session) HandleQuery(text string) Decision {
 	statement, err := wire.ParseStatement(text)
 	if s.state == wire.Failed {
-		return s.takeFailed(statement, err == nil)
+		return s.handleInFailedState(statement, err == nil)
 	}
 	if err != nil {
 		return s.refuse(wire.Malformed, "")
 	}
 	switch statement.Verb {
 	case wire.SetOpt, wire.Prepare, wire.Release:
-		return s.takeOwn(statement)
+		return s.handleLocally(statement)
 	case wire.Begin:
 		if s.state == wire.InTransaction {
 			return s.refuse(wire.Malformed, "already in a transaction")
 		}
-		return s.run(Statement{Class: Begin, Text: text, ReadOnly: statement.ReadOnly})
+		return s.forward(Statement{Class: Begin, Text: text, ReadOnly: statement.ReadOnly})
 	case wire.Commit:
-		return s.takeEnd(Statement{Class: Commit, Text: text})
+		return s.handleTransactionEnd(Statement{Class: Commit, Text: text})
 	case wire.Abort:
-		return s.takeEnd(Statement{Class: Abort, Text: text})
+		return s.handleTransactionEnd(Statement{Class: Abort, Text: text})
 	case wire.Fetch:
-		return s.takeOperation(Statement{Class: Read, Text: text, ReadOnly: true})
+		return s.handleOperation(Statement{Class: Read, Text: text, ReadOnly: true})
 	case wire.Put:
-		return s.takeOperation(Statement{Class: Write, Text: text})
+		return s.handleOperation(Statement{Class: Write, Text: text})
 	}
-	return s.takeExecute(statement.Name, text)
+	return s.handleExecute(statement.Name, text)
 }
 
-func (s *Session) takeExecute(name, text string) Decision {
-	prepared, known := s.names[name]
+func (s *Session) handleExecute(name, text string) Decision {
+	prepared, known := s.prepared[name]
 	if !known {
 		return s.refuse(wire.NoStmt, name)
 	}
@@ -128,10 +130,10 @@
 	if prepared.Kind == wire.Put {
 		statement.Class, statement.ReadOnly = Write, false
 	}
-	return s.takeOperation(statement)
+	return s.handleOperation(statement)
 }
 
-func (s *Session) takeOperation(statement Statement) Decision {
+func (s *Session) handleOperation(statement Statement) Decision {
 	if s.state == wire.InTransaction {
 		if s.statements == maxStatements {
 			return s.refuse(wire.Malformed, "too many statements in a transaction")
@@ -139,71 +141,71 @@
 		s.statements++
 		s.wrote = s.wrote || statement.Class == Write
 	}
-	return s.run(statement)
+	return s.forward(statement)
 }
 
-func (s *Session) takeEnd(statement Statement) Decision {
+func (s *Session) handleTransactionEnd(statement Statement) Decision {
 	if s.state == wire.Idle {
 		return s.refuse(wire.Malformed, "not in a transaction")
 	}
-	return s.run(statement)
+	return s.forward(statement)
 }
 
-func (s *Session) run(statement Statement) Decision {
+func (s *Session) forward(statement Statement) Decision {
 	return Decision{Statement: statement, NeedsConnection: s.state == wire.Idle}
 }
 
-// takeFailed answers in state E: the end of the transaction, and the refusal of all else.
-func (s *Session) takeFailed(statement wire.Statement, readable bool) Decision {
-	untold := s.untold
-	s.untold = false
+// handleInFailedState answers a statement in state E: it accepts the end of the transaction and refuses everything else.
+func (s *Session) handleInFailedState(statement wire.Statement, isValid bool) Decision {
+	hasUnreportedRollback := s.hasUnreportedRollback
+	s.hasUnreportedRollback = false
 	switch {
-	case readable && statement.Verb == wire.Abort:
-		s.leave(wire.Idle)
-		return local(wire.Completed(wire.Idle))
-	case readable && statement.Verb == wire.Commit:
-		s.leave(wire.Idle)
-		return local(wire.Refusal(wire.RolledBack, "", wire.Idle))
-	case untold:
-		return local(wire.Refusal(wire.RolledBack, "", wire.Failed))
+	case isValid && statement.Verb == wire.Abort:
+		s.endTransaction(wire.Idle)
+		return answerLocally(wire.Completed(wire.Idle))
+	case isValid && statement.Verb == wire.Commit:
+		s.endTransaction(wire.Idle)
+		return answerLocally(wire.Refusal(wire.RolledBack, "", wire.Idle))
+	case hasUnreportedRollback:
+		return answerLocally(wire.Refusal(wire.RolledBack, "", wire.Failed))
 	}
-	return local(wire.Refusal(wire.Malformed, "the transaction has failed", wire.Failed))
+	return answerLocally(wire.Refusal(wire.Malformed, "the transaction has failed", wire.Failed))
 }
 
-// refuse answers a text that is not run. Inside a transaction any error fails it.
+// refuse answers a statement that is not run. Inside a transaction, any error fails the transaction.
 func (s *Session) refuse(code wire.Code, text string) Decision {
 	rollback := s.state == wire.InTransaction
 	if rollback {
-		s.leave(wire.Failed)
+		s.endTransaction(wire.Failed)
 	}
-	decision := local(wire.Refusal(code, text, s.state))
+	decision := answerLocally(wire.Refusal(code, text, s.state))
 	decision.Rollback = rollback
 	return decision
 }
 
-// HandleMalformed is the decision on a message that can't be read at all.
+// HandleMalformed decides what to do with a message that can't be parsed at all.
 func (s *Session) HandleMalformed() Decision {
 	if s.state == wire.Failed {
-		return s.takeFailed(wire.Statement{}, false)
+		return s.handleInFailedState(wire.Statement{}, false)
 	}
 	return s.refuse(wire.Malformed, "")
 }
 
-// HandleRollback records that the open transaction was rolled back while nothing was asked: it rested for too long, its
-// connection was lost, or the gateway had to end it. The client hears of it with its next statement.
+// HandleRollback records that the open transaction was rolled back between statements: it was idle for too long, its
+// connection was lost, or the gateway had to end it. The client is told with the answer to its next statement.
 func (s *Session) HandleRollback() {
 	if s.state != wire.InTransaction {
 		return
 	}
-	s.leave(wire.Failed)
-	s.untold = true
+	s.endTransaction(wire.Failed)
+	s.hasUnreportedRollback = true
 }
 
-// leave ends the transaction at the instance, as far as the session is concerned.
-func (s *Session) leave(state wire.State) {
+// endTransaction records that the transaction has ended and sets the new state.
+func (s *Session) endTransaction(state wire.State) {
 	s.state = state
 	s.wrote = false
 	s.statements = 0
 }
 
-func local(answer wire.Answer) Decision { return Decision{Local: true, Answer: answer} }
+func answerLocally(answer wire.Answer) Decision { return Decision{Local: true, Answer: answer} }
