--- a/wire/conn_test.go
+++ b/wire/conn_test.go
@@ -13,8 +13,8 @@
 	"eiderway/control/failover"
 )
 
-// farEnd listens on loopback and plays one connection of an instance.
-func farEnd(t *testing.T, play func(network net.Conn, reader *Reader)) string {
+// fakeInstance listens on loopback, accepts one connection and calls play for it.
+func fakeInstance(t *testing.T, play func(network net.Conn, reader *Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -37,15 +37,15 @@
 	return listener.Addr().String()
 }
 
-// greeted answers CONNECT and waits for a statement.
-func greeted(network net.Conn, reader *Reader) string {
+// connectAndRead answers CONNECT and returns the next message.
+func connectAndRead(network net.Conn, reader *Reader) string {
 	_, _ = reader.ReadLine()
 	_, _ = network.Write(AppendReady(nil, Idle, "3.1"))
 	line, _ := reader.ReadLine()
 	return line
 }
 
-func dialled(t *testing.T, address string) *Conn {
+func dial(t *testing.T, address string) *Conn {
 	t.Helper()
 	conn, err := Dial(context.Background(), address, "service", "who", "i-1")
 	if err != nil {
@@ -55,18 +55,18 @@
 	return conn
 }
 
-func TestQueryBringsRowsStampAndState(t *testing.T) {
+func TestQueryReturnsRowsStampAndState(t *testing.T) {
 	is := is.New(t)
-	asked := make(chan string, 1)
-	conn := dialled(t, farEnd(t, func(network net.Conn, reader *Reader) {
-		asked <- greeted(network, reader)
+	received := make(chan string, 1)
+	conn := dial(t, fakeInstance(t, func(network net.Conn, reader *Reader) {
+		received <- connectAndRead(network, reader)
 		_, _ = network.Write([]byte("ROW a b\r\nCOMPLETE 7.1\r\nREADY T 3.2\r\n"))
 		_, _ = reader.ReadLine()
 	}))
 	is.Equal(conn.Position(), "3.1")
 	answer, err := conn.Query(context.Background(), "5c", "FETCH 1a4")
 	is.NoErr(err)
-	is.Equal(<-asked, "QUERY 5c FETCH 1a4")
+	is.Equal(<-received, "QUERY 5c FETCH 1a4")
 	is.Equal(answer, Answer{Rows: []string{"a b"}, Stamp: "7.1", State: InTransaction, Position: "3.2"})
 	is.Equal(conn.State(), InTransaction)
 	is.True(conn.IsUsable())
@@ -74,8 +74,8 @@
 
 func TestStatusAndRefusal(t *testing.T) {
 	is := is.New(t)
-	conn := dialled(t, farEnd(t, func(network net.Conn, reader *Reader) {
-		greeted(network, reader)
+	conn := dial(t, fakeInstance(t, func(network net.Conn, reader *Reader) {
+		connectAndRead(network, reader)
 		_, _ = network.Write([]byte("ROW replica 3 3.1209 4 12 2 17\r\nCOMPLETE -\r\nREADY I 3.2\r\n"))
 		_, _ = reader.ReadLine()
 		_, _ = network.Write([]byte("ERROR BUSY no slot\r\nREADY I 3.2\r\n"))
@@ -88,12 +88,12 @@
 	var refused *RefusedError
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Code, Busy)
-	is.True(conn.IsUsable()) // a refusal doesn't spoil it
+	is.True(conn.IsUsable()) // a refusal doesn't break the connection
 }
 
-func TestRefusedConnectIsNotSent(t *testing.T) {
+func TestRefusedConnectCountsAsNotSent(t *testing.T) {
 	is := is.New(t)
-	address := farEnd(t, func(network net.Conn, reader *Reader) {
+	address := fakeInstance(t, func(network net.Conn, reader *Reader) {
 		_, _ = reader.ReadLine()
 		_, _ = network.Write([]byte("ERROR WRONGNODE i-2\r\n"))
 	})
@@ -104,12 +104,12 @@
 	is.Equal(DeliveryOf(err), NotSent)
 }
 
-// An answer that comes after the caller has given up must never be taken for the answer to another statement.
-func TestLateAnswerSpoilsTheConnection(t *testing.T) {
+// An answer that arrives after the caller has given up must never be taken for the answer to another statement.
+func TestLateAnswerBreaksTheConnection(t *testing.T) {
 	is := is.New(t)
 	givenUp := make(chan struct{})
-	conn := dialled(t, farEnd(t, func(network net.Conn, reader *Reader) {
-		greeted(network, reader)
+	conn := dial(t, fakeInstance(t, func(network net.Conn, reader *Reader) {
+		connectAndRead(network, reader)
 		<-givenUp
 		_, _ = network.Write([]byte("COMPLETE 7.1\r\nREADY I 3.2\r\n"))
 	}))
@@ -126,10 +126,10 @@
 	is.True(!conn.IsUsable())
 }
 
-func TestBrokenAfterSendingMayHaveRun(t *testing.T) {
+func TestStatementMayHaveRunIfConnectionBreaksAfterSending(t *testing.T) {
 	is := is.New(t)
-	conn := dialled(t, farEnd(t, func(network net.Conn, reader *Reader) {
-		greeted(network, reader)
+	conn := dial(t, fakeInstance(t, func(network net.Conn, reader *Reader) {
+		connectAndRead(network, reader)
 		_, _ = network.Write([]byte("COMPLETE 7.1\r\n")) // and no READY
 	}))
 	_, err := conn.Query(context.Background(), "1", "PUT a b")
@@ -142,8 +142,8 @@
 func TestCancelledQueryEndsAtOnce(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	conn := dialled(t, farEnd(t, func(network net.Conn, reader *Reader) {
-		greeted(network, reader)
+	conn := dial(t, fakeInstance(t, func(network net.Conn, reader *Reader) {
+		connectAndRead(network, reader)
 		cancel()
 		_, _ = reader.ReadLine()
 	}))
@@ -153,16 +153,16 @@
 	is.Equal(DeliveryOf(err), NotSent)
 }
 
-func TestClosedOrUnaskedConnectionsAreNotUsable(t *testing.T) {
+func TestClosedConnectionsAndUnrequestedBytesAreNotUsable(t *testing.T) {
 	is := is.New(t)
-	for _, unasked := range []string{"", "ROW x\r\n"} {
+	for _, unrequested := range []string{"", "ROW x\r\n"} {
 		done := make(chan struct{})
 		release := make(chan struct{})
-		conn := dialled(t, farEnd(t, func(network net.Conn, reader *Reader) {
+		conn := dial(t, fakeInstance(t, func(network net.Conn, reader *Reader) {
 			_, _ = reader.ReadLine()
 			_, _ = network.Write(AppendReady(nil, Idle, NoPosition))
-			if unasked != "" {
-				_, _ = network.Write([]byte(unasked))
+			if unrequested != "" {
+				_, _ = network.Write([]byte(unrequested))
 			} else {
 				network.Close()
 			}
@@ -178,23 +178,23 @@
 	}
 }
 
-// shortWriter takes only the first bytes of what is written, and then fails.
+// shortWriter accepts only the first bytes of what is written, and then fails.
 type shortWriter struct {
 	net.Conn
-	takes int
+	accepts int
 }
 
 func (w shortWriter) Write(bytes []byte) (int, error) {
-	return min(w.takes, len(bytes)), net.ErrClosed
+	return min(w.accepts, len(bytes)), net.ErrClosed
 }
 
-// A line whose end hasn't left is never run; one that has left whole may have been.
-func TestWhatLeftDecidesWhatMayHaveRun(t *testing.T) {
+// A statement whose line was not sent whole was never run; one that was sent whole may have been.
+func TestPartialWriteCountsAsNotSent(t *testing.T) {
 	is := is.New(t)
-	whole := len(AppendQuery(nil, "1", "PUT a b"))
-	for takes, want := range map[int]Delivery{0: NotSent, whole - 1: NotSent, whole: MaybeRan} {
+	length := len(AppendQuery(nil, "1", "PUT a b"))
+	for accepts, want := range map[int]Delivery{0: NotSent, length - 1: NotSent, length: MaybeRan} {
 		near, _ := net.Pipe()
-		conn := &Conn{network: shortWriter{Conn: near, takes: takes}, reader: NewReader(strings.NewReader(""))}
+		conn := &Conn{network: shortWriter{Conn: near, accepts: accepts}, reader: NewReader(strings.NewReader(""))}
 		_, err := conn.QueryUntil(time.Time{}, "1", "PUT a b")
 		is.True(err != nil)
 		is.Equal(DeliveryOf(err), want)
--- a/wire/message.go
+++ b/wire/message.go
@@ -1,8 +1,8 @@
-// Package wire speaks the line protocol that clients, gateways and instances share.
+// Package wire implements the line protocol that clients, gateways and instances share.
 //
-// A message is a line: a word and its fields, separated by single blanks and closed by CR LF; the last field extends
-// to the end of the line. The package reads and writes both directions, and has a small blocking client to an
-// instance. It decides nothing about sessions.
+// A message is a line: a word and its fields, separated by single blanks and terminated by CR LF; the last field extends
+// to the end of the line. The package parses and formats the messages of both directions, and has a small blocking client
+// for an instance. Package session has the rules of sessions.
 package wire
 
 import (
@@ -14,19 +14,19 @@
 	"eiderway/control/failover"
 )
 
-// MaxMessage is the most bytes a message may have, its CR LF included; the protocol sets it.
+// MaxMessage is the largest size of a message in bytes, including its CR LF; the protocol sets it.
 const MaxMessage = 1 << 20
 
-// InternalID marks statements that the system sends for itself.
+// InternalID is the ID of statements that the system sends on its own behalf.
 const InternalID = "-"
 
-// NoPosition stands where there is no position, and NoStamp where there is no stamp.
+// NoPosition stands for a missing position, and NoStamp for a missing stamp.
 const (
 	NoPosition = "-"
 	NoStamp    = "-"
 )
 
-// Code is the word of an ERROR.
+// Code is the error code of an ERROR.
 type Code string
 
 // The codes of the protocol.
@@ -46,7 +46,7 @@
 	Malformed  Code = "MALFORMED"
 )
 
-// PromisesNoEffect tells whether the code promises that nothing of the try is kept.
+// PromisesNoEffect reports whether the code promises that the statement had no effect.
 func (code Code) PromisesNoEffect() bool {
 	switch code {
 	case Busy, RolledBack, Lagging, ReadOnly, WrongNode, ConnLimit:
@@ -55,34 +55,34 @@
 	return false
 }
 
-// State is the state of a session as READY tells it.
+// State is the state of a session as READY reports it.
 type State byte
 
 // The states of a session.
 const (
 	Idle          State = 'I' // outside a transaction
 	InTransaction State = 'T'
-	Failed        State = 'E' // in a transaction that failed: its end rolls back
+	Failed        State = 'E' // in a transaction that failed: ending it rolls it back
 )
 
-// ErrMalformed is the cause of every message that can't be read.
+// ErrMalformed is the cause of the error for every message that can't be parsed.
 var ErrMalformed = eris.New("malformed message")
 
 // Connect is the first message of a connection.
 type Connect struct {
 	Database   string // to an instance: the name of the service
-	User       string
-	InstanceID string // to an instance, if one is expected
+	User       string // to a gateway: the API key; to an instance: a user name
+	InstanceID string // to an instance: the ID that it must have, or empty
 }
 
-// Request is a message of a client after CONNECT. Exactly one of the kinds holds.
+// Request is a message of a client after CONNECT: a QUIT or a QUERY.
 type Request struct {
 	Quit bool
 	ID   string // of a QUERY
 	Text string // of a QUERY
 }
 
-// ParseConnect reads the first message of a connection, without its CR LF.
+// ParseConnect parses the first message of a connection, without its CR LF.
 func ParseConnect(line string) (Connect, error) {
 	word, rest, _ := strings.Cut(line, " ")
 	if word != "CONNECT" {
@@ -92,14 +92,14 @@
 	if !found || database == "" {
 		return Connect{}, eris.Wrap(ErrMalformed, "CONNECT without its fields")
 	}
-	who, instanceID, hasID := strings.Cut(rest, " ")
-	if who == "" || (hasID && instanceID == "") {
+	user, instanceID, hasID := strings.Cut(rest, " ")
+	if user == "" || (hasID && instanceID == "") {
 		return Connect{}, eris.Wrap(ErrMalformed, "CONNECT with an empty field")
 	}
-	return Connect{Database: database, User: who, InstanceID: instanceID}, nil
+	return Connect{Database: database, User: user, InstanceID: instanceID}, nil
 }
 
-// ParseRequest reads a message after CONNECT, without its CR LF.
+// ParseRequest parses a message after CONNECT, without its CR LF.
 func ParseRequest(line string) (Request, error) {
 	if line == "QUIT" {
 		return Request{Quit: true}, nil
@@ -115,7 +115,7 @@
 	return Request{ID: id, Text: text}, nil
 }
 
-// AppendConnect adds a CONNECT to the buffer.
+// AppendConnect appends a CONNECT to the buffer.
 func AppendConnect(buffer []byte, connect Connect) []byte {
 	buffer = append(buffer, "CONNECT "...)
 	buffer = append(buffer, connect.Database...)
@@ -128,7 +128,7 @@
 	return append(buffer, "\r\n"...)
 }
 
-// AppendQuery adds a QUERY to the buffer.
+// AppendQuery appends a QUERY to the buffer.
 func AppendQuery(buffer []byte, id, text string) []byte {
 	buffer = append(buffer, "QUERY "...)
 	buffer = append(buffer, id...)
@@ -137,30 +137,30 @@
 	return append(buffer, "\r\n"...)
 }
 
-// AppendQuit adds a QUIT to the buffer.
+// AppendQuit appends a QUIT to the buffer.
 func AppendQuit(buffer []byte) []byte { return append(buffer, "QUIT\r\n"...) }
 
-// Answer is what a QUERY is answered with.
+// Answer is the answer to a QUERY.
 type Answer struct {
 	Rows     []string
 	Stamp    string // of COMPLETE
-	Code     Code   // of ERROR; "": the statement was completed
+	Code     Code   // of ERROR; empty if the statement completed
 	Text     string // of ERROR
 	State    State
-	Position string // as it came: TERM.NUMBER or "-"
+	Position string // as received: TERM.NUMBER or "-"
 }
 
-// Refusal is an answer with an ERROR.
+// Refusal returns an answer with an ERROR.
 func Refusal(code Code, text string, state State) Answer {
 	return Answer{Code: code, Text: text, State: state, Position: NoPosition}
 }
 
-// Completed is an answer that the system gives itself: COMPLETE without a stamp.
+// Completed returns an answer that the system gives itself: COMPLETE without a stamp.
 func Completed(state State) Answer {
 	return Answer{Stamp: NoStamp, State: state, Position: NoPosition}
 }
 
-// AppendAnswer adds a whole answer to the buffer: rows, COMPLETE or ERROR, and READY.
+// AppendAnswer appends a whole answer to the buffer: rows, COMPLETE or ERROR, and READY.
 func AppendAnswer(buffer []byte, answer Answer) []byte {
 	for _, row := range answer.Rows {
 		buffer = append(buffer, "ROW "...)
@@ -177,7 +177,7 @@
 	return AppendReady(buffer, answer.State, answer.Position)
 }
 
-// AppendError adds an ERROR to the buffer.
+// AppendError appends an ERROR to the buffer.
 func AppendError(buffer []byte, code Code, text string) []byte {
 	buffer = append(buffer, "ERROR "...)
 	buffer = append(buffer, code...)
@@ -188,7 +188,7 @@
 	return append(buffer, "\r\n"...)
 }
 
-// AppendReady adds a READY to the buffer.
+// AppendReady appends a READY to the buffer.
 func AppendReady(buffer []byte, state State, position string) []byte {
 	buffer = append(buffer, "READY "...)
 	buffer = append(buffer, byte(state), ' ')
@@ -196,7 +196,7 @@
 	return append(buffer, "\r\n"...)
 }
 
-// ParseReady reads the fields of a READY.
+// ParseReady parses the fields of a READY.
 func ParseReady(fields string) (State, string, error) {
 	state, position, found := strings.Cut(fields, " ")
 	if !found || len(state) != 1 || position == "" {
@@ -209,7 +209,7 @@
 	return 0, "", eris.Wrap(ErrMalformed, "READY with an unknown state")
 }
 
-// ParsePosition reads TERM.NUMBER.
+// ParsePosition parses TERM.NUMBER.
 func ParsePosition(text string) (failover.Position, error) {
 	term, number, found := strings.Cut(text, ".")
 	if !found {
@@ -223,7 +223,7 @@
 	return failover.Position{Term: termValue, Number: numberValue}, nil
 }
 
-// FormatPosition writes TERM.NUMBER.
+// FormatPosition formats a position as TERM.NUMBER.
 func FormatPosition(position failover.Position) string {
 	return strconv.FormatUint(position.Term, 10) + "." + strconv.FormatUint(position.Number, 10)
 }
--- a/wire/message_test.go
+++ b/wire/message_test.go
@@ -10,7 +10,7 @@
 	"eiderway/control/failover"
 )
 
-func TestConnectTakesDatabaseWhoAndInstance(t *testing.T) {
+func TestParseConnect(t *testing.T) {
 	is := is.New(t)
 	connect, err := ParseConnect("CONNECT huvo11a tenant i-7f3a91c2")
 	is.NoErr(err)
@@ -21,7 +21,7 @@
 	is.Equal(string(AppendConnect(nil, connect)), "CONNECT lepu270 u3f1\r\n")
 }
 
-func TestBrokenMessagesAreRefused(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	for _, line := range []string{"", "CONNECT", "CONNECT a", "CONNECT a ", "CONNECT  a", "CONNECT a b ", "connect a b", "QUERY 1 FETCH a"} {
 		if _, err := ParseConnect(line); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q as CONNECT: %v", line, err)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestRequestsKeepTheirTextUnchanged(t *testing.T) {
+func TestParseRequestKeepsTheText(t *testing.T) {
 	is := is.New(t)
 	request, err := ParseRequest("QUERY 5c0e PUT 1a4 some  data with blanks ")
 	is.NoErr(err)
@@ -44,7 +44,7 @@
 	is.True(request.Quit)
 }
 
-func TestStatementsOfClients(t *testing.T) {
+func TestParseStatement(t *testing.T) {
 	for text, want := range map[string]Statement{
 		"BEGIN":                  {Verb: Begin},
 		"BEGIN FETCH":            {Verb: Begin, ReadOnly: true},
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestTextsThatNoClientMaySend(t *testing.T) {
+func TestStatementsThatClientsMayNotSend(t *testing.T) {
 	for _, text := range []string{
 		"", "begin", "BEGIN PUT", "BEGIN ", "COMMIT now", "ABORT ", "FETCH", "FETCH ", "PUT", "PUT a", "PUT  x", "SETOPT a",
 		"PREPARE s1 q2c", "PREPARE s1 COMMIT q", "PREPARE s1 PUT", "PREPARE  PUT q", "EXECUTE s1", "EXECUTE  a", "RELEASE",
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestStatementsOfInstances(t *testing.T) {
+func TestParseInstanceStatement(t *testing.T) {
 	is := is.New(t)
 	statement, err := ParseInstanceStatement("AFTERPOS 3.1207 FETCH 1a4")
 	is.NoErr(err)
@@ -90,14 +90,14 @@
 	}
 }
 
-func TestRenamingChangesNothingElse(t *testing.T) {
+func TestRenameExecuteChangesOnlyTheName(t *testing.T) {
 	is := is.New(t)
 	is.Equal(RenameExecute("EXECUTE s1 1a4", "fq"), "EXECUTE fq 1a4")
 	is.Equal(RenameExecute("EXECUTE s1 1a4 x  y ", "fq"), "EXECUTE fq 1a4 x  y ")
 	is.Equal(RenameExecute("EXECUTE EXECUTE EXECUTE s1", "fq"), "EXECUTE fq EXECUTE s1")
 }
 
-func TestStatusRow(t *testing.T) {
+func TestParseAndFormatStatus(t *testing.T) {
 	is := is.New(t)
 	status, err := ParseStatus("replica 3 3.1209 0 12 2 17")
 	is.NoErr(err)
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestPromises(t *testing.T) {
+func TestPromisesNoEffect(t *testing.T) {
 	is := is.New(t)
 	for _, code := range []Code{Busy, RolledBack, Lagging, ReadOnly, WrongNode, ConnLimit} {
 		is.True(code.PromisesNoEffect()) // each of them
--- a/wire/quiet.go
+++ b/wire/peek.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// quietAndOpen tells, without waiting, whether nothing has come on the connection: no byte, no end, no reset. Where the
-// system can't tell, the connection is taken for sound: the next statement finds out.
-func quietAndOpen(network net.Conn) bool {
+// isOpenAndSilent reports, without blocking, whether nothing has arrived on the connection: no byte, no end of stream, no
+// reset. If the system can't tell, it returns true: the next statement will find out.
+func isOpenAndSilent(network net.Conn) bool {
 	source, ok := network.(syscall.Conn)
 	if !ok {
 		return true
@@ -17,16 +17,16 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	isSilent := false
 	err = raw.Control(func(descriptor uintptr) {
 		var one [1]byte
 		_, _, readErr := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = readErr != nil && !isLoss(readErr)
+		isSilent = readErr != nil && !isConnectionLoss(readErr)
 	})
-	return err == nil && quiet
+	return err == nil && isSilent
 }
 
-func isLoss(err error) bool {
+func isConnectionLoss(err error) bool {
 	for _, loss := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EPIPE, syscall.ENOTCONN, syscall.EHOSTUNREACH} {
 		if errors.Is(err, loss) {
 			return true
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -9,38 +9,39 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrTooLong says that a message is longer than MaxMessage. The rest of the stream can't be used.
+// ErrTooLong says that a message or an answer is too long, or that the budget has no memory left for it. The rest of the
+// stream can't be used.
 var ErrTooLong = eris.New("message too long")
 
-// readBuffer is the size of a reader's buffer in bytes: most messages are far shorter, and there are thousands of
-// readers that mostly rest.
-const readBuffer = 1024
+// bufferSize is the size of a reader's buffer in bytes: most messages are far shorter, and there are thousands of readers
+// that are mostly idle.
+const bufferSize = 1024
 
-// Reader reads messages of at most MaxMessage bytes. Memory grows with the bytes that have come, not with what a
+// Reader reads messages of at most MaxMessage bytes. Its memory grows with the bytes that have arrived, not with what a
 // sender announces.
 type Reader struct {
 	buffered *bufio.Reader
-	budget   *Budget // nil: there is none
-	claimed  int     // from the budget
+	budget   *Budget // nil if there is none
+	reserved int     // bytes reserved from the budget
 }
 
-// NewReader reads messages from source.
+// NewReader returns a reader of messages from source.
 func NewReader(source io.Reader) *Reader {
-	return &Reader{buffered: bufio.NewReaderSize(source, readBuffer)}
+	return &Reader{buffered: bufio.NewReaderSize(source, bufferSize)}
 }
 
-// Buffered tells how many bytes have been read and not yet been handed out.
+// Buffered returns the number of bytes that have been received but not yet returned.
 func (r *Reader) Buffered() int { return r.buffered.Buffered() }
 
-// WaitByte returns when there is at least one byte to be read.
+// WaitByte blocks until at least one byte can be read.
 func (r *Reader) WaitByte() error {
 	_, err := r.buffered.Peek(1)
 	return err
 }
 
-// ReadLine returns the next message without its CR LF. A message that holds a lone CR or LF gives ErrMalformed, and
-// the stream goes on after its end; any other error ends the stream. io.EOF means that it ended between messages,
-// io.ErrUnexpectedEOF that it ended within one.
+// ReadLine returns the next message without its CR LF. A message that holds a lone CR or LF gives ErrMalformed, and the
+// next call reads the message after it; any other error ends the stream. io.EOF means that the stream ended between
+// messages, io.ErrUnexpectedEOF that it ended within one.
 func (r *Reader) ReadLine() (string, error) {
 	r.Release()
 	chunk, err := r.buffered.ReadSlice('\n')
@@ -50,7 +51,7 @@
 	return r.readLongLine(chunk, err)
 }
 
-// readLongLine goes on with a line that the buffer doesn't hold whole, or that has a lone LF.
+// readLongLine reads the rest of a line that doesn't fit the buffer, or that has a lone LF.
 func (r *Reader) readLongLine(first []byte, err error) (string, error) {
 	line := append([]byte(nil), first...)
 	for {
@@ -62,7 +63,7 @@
 		}
 		var chunk []byte
 		chunk, err = r.buffered.ReadSlice('\n')
-		if len(line)+len(chunk) > MaxMessage || !r.afford(len(line)+len(chunk)) {
+		if len(line)+len(chunk) > MaxMessage || !r.reserve(len(line)+len(chunk)) {
 			return "", ErrTooLong
 		}
 		line = append(line, chunk...)
@@ -80,7 +81,7 @@
 	return len(line) >= 2 && line[len(line)-2] == '\r' && line[len(line)-1] == '\n'
 }
 
-// checkLine refuses lines that another reader might split elsewhere.
+// checkLine rejects lines that another reader might split differently.
 func checkLine(line string) (string, error) {
 	if strings.ContainsAny(line, "\r\n") {
 		return "", eris.Wrap(ErrMalformed, "line break within a message")
@@ -88,8 +89,8 @@
 	return line, nil
 }
 
-// maxAnswer bounds the bytes of the rows of one answer: a gateway holds an answer whole until it knows its end.
-const maxAnswer = 4 * MaxMessage
+// maxAnswerBytes bounds the rows of one answer: a gateway holds a whole answer in memory until its end has arrived.
+const maxAnswerBytes = 4 * MaxMessage
 
 // ReadAnswer reads the answer to one QUERY, up to its READY.
 func (r *Reader) ReadAnswer() (Answer, error) {
@@ -105,7 +106,7 @@
 		switch {
 		case word == "ROW" && !ended:
 			bytes += len(fields)
-			if bytes > maxAnswer {
+			if bytes > maxAnswerBytes {
 				return Answer{}, ErrTooLong
 			}
 			answer.Rows = append(answer.Rows, fields)
--- a/wire/reader_test.go
+++ b/wire/reader_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-func TestLinesOfAllLengths(t *testing.T) {
-	for _, length := range []int{0, 1, readBuffer - 3, readBuffer - 2, readBuffer - 1, readBuffer, readBuffer + 1, 3 * readBuffer, MaxMessage - 2} {
+func TestReadLineOfAllLengths(t *testing.T) {
+	for _, length := range []int{0, 1, bufferSize - 3, bufferSize - 2, bufferSize - 1, bufferSize, bufferSize + 1, 3 * bufferSize, MaxMessage - 2} {
 		line := strings.Repeat("x", length)
 		source := strings.NewReader(line + "\r\nnext\r\n")
 		reader := NewReader(source)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestLinesThatComeInSingleBytes(t *testing.T) {
+func TestReadLineFromSingleBytes(t *testing.T) {
 	is := is.New(t)
 	reader := NewReader(iotest.OneByteReader(strings.NewReader("QUERY 1 FETCH a\r\n")))
 	line, err := reader.ReadLine()
@@ -35,29 +35,29 @@
 	is.Equal(err, io.EOF)
 }
 
-func TestTooLongMessageIsRefusedWithoutReadingOn(t *testing.T) {
+func TestTooLongMessageIsRejectedWithoutReadingOn(t *testing.T) {
 	is := is.New(t)
-	endless := &counted{source: strings.NewReader(strings.Repeat("x", 4*MaxMessage))}
-	_, err := NewReader(endless).ReadLine()
+	source := &countingReader{source: strings.NewReader(strings.Repeat("x", 4*MaxMessage))}
+	_, err := NewReader(source).ReadLine()
 	is.True(errors.Is(err, ErrTooLong))
-	is.True(endless.read <= MaxMessage+2*readBuffer)
+	is.True(source.read <= MaxMessage+2*bufferSize)
 }
 
-type counted struct {
+type countingReader struct {
 	source io.Reader
 	read   int
 }
 
-func (c *counted) Read(into []byte) (int, error) {
+func (c *countingReader) Read(into []byte) (int, error) {
 	count, err := c.source.Read(into)
 	c.read += count
 	return count, err
 }
 
-// A line break that another reader might take for the end of a message is refused, and the stream goes on after the
-// message's own end.
-func TestLoneLineBreaksAreRefused(t *testing.T) {
-	for _, broken := range []string{"a\nb", "a\rb", "\n", "\r", "a\n", "a\r", strings.Repeat("x", readBuffer) + "\nQUERY 1 PUT a b"} {
+// A lone line break, which another reader might take for the end of a message, is rejected, and the stream can be read on
+// after the message's own end.
+func TestLoneLineBreaksAreRejected(t *testing.T) {
+	for _, broken := range []string{"a\nb", "a\rb", "\n", "\r", "a\n", "a\r", strings.Repeat("x", bufferSize) + "\nQUERY 1 PUT a b"} {
 		reader := NewReader(strings.NewReader(broken + "\r\nnext\r\n"))
 		if line, err := reader.ReadLine(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%.20q: %q, %v", broken, line, err)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestEndWithinAMessage(t *testing.T) {
+func TestStreamEndWithinAMessage(t *testing.T) {
 	is := is.New(t)
 	_, err := NewReader(strings.NewReader("QUERY 1 FET")).ReadLine()
 	is.Equal(err, io.ErrUnexpectedEOF)
@@ -76,23 +76,23 @@
 	is.Equal(err, io.ErrUnexpectedEOF)
 }
 
-func TestBudgetIsSharedAndGivenBack(t *testing.T) {
+func TestBudgetIsSharedAndReleased(t *testing.T) {
 	is := is.New(t)
-	long := strings.Repeat("x", 3*readBuffer) + "\r\n"
-	budget := NewBudget(claimStep)
+	long := strings.Repeat("x", 3*bufferSize) + "\r\n"
+	budget := NewBudget(reservationStep)
 	first := NewReader(strings.NewReader(long + "short\r\n")).WithBudget(budget)
 	second := NewReader(strings.NewReader(long)).WithBudget(budget)
 	_, err := first.ReadLine()
 	is.NoErr(err)
 	_, err = second.ReadLine()
-	is.True(errors.Is(err, ErrTooLong)) // the first still holds its message
+	is.True(errors.Is(err, ErrTooLong)) // the first reader still holds its message
 	_, err = first.ReadLine()
 	is.NoErr(err)
 	_, err = NewReader(strings.NewReader(long)).WithBudget(budget).ReadLine()
 	is.NoErr(err)
 }
 
-func TestAnswers(t *testing.T) {
+func TestAppendAndReadAnswer(t *testing.T) {
 	is := is.New(t)
 	for _, want := range []Answer{
 		{Rows: []string{"qhzk wmt", "second"}, Stamp: "7.1f3.c", State: Idle, Position: "3.1209"},
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestMalformedAnswersAreRejected(t *testing.T) {
 	for _, text := range []string{
 		"READY I -\r\n", "ROW a\r\nREADY I -\r\n", "COMPLETE\r\n", "COMPLETE x\r\nROW a\r\n", "COMPLETE x\r\nCOMPLETE x\r\n",
 		"ERROR\r\n", "COMPLETE x\r\nREADY X -\r\n", "COMPLETE x\r\nREADY I\r\n", "HELLO\r\n", "COMPLETE x\r\n", "ROW a",
@@ -130,13 +130,13 @@
 			}
 			want, after, found := strings.Cut(rest, "\r\n")
 			if !found {
-				t.Fatalf("a line where there is none in %q", rest)
+				t.Fatalf("ReadLine returned a line, but %q has none", rest)
 			}
 			if err == nil && line != want {
-				t.Fatalf("read %q of %q", line, rest)
+				t.Fatalf("read %q from %q", line, rest)
 			}
 			if err != nil && !strings.ContainsAny(want, "\r\n") {
-				t.Fatalf("%q refused", want)
+				t.Fatalf("%q was rejected", want)
 			}
 			rest = after
 		}
--- a/wire/statement.go
+++ b/wire/statement.go
@@ -9,7 +9,7 @@
 	"eiderway/control/failover"
 )
 
-// Verb is the first word of a statement, after an AFTERPOS.
+// Verb is the first word of a statement, not counting an AFTERPOS prefix.
 type Verb string
 
 // The statements of clients.
@@ -25,7 +25,7 @@
 	Release Verb = "RELEASE"
 )
 
-// The system's own statements, which only instances take.
+// The system's internal statements, which only instances accept.
 const (
 	Status   Verb = "STATUS"
 	Pause    Verb = "PAUSE"
@@ -34,10 +34,10 @@
 	Reset    Verb = "RESET"
 )
 
-// afterPos stands before a read or a BEGIN that must see a position; only the system sends it.
+// afterPos is the prefix of a read or a BEGIN that must see the log up to a position; only the system sends it.
 const afterPos = "AFTERPOS"
 
-// Statement is a statement's text, read.
+// Statement is a parsed statement.
 type Statement struct {
 	Verb     Verb
 	ReadOnly bool              // of BEGIN: BEGIN FETCH
@@ -49,59 +49,59 @@
 	Data     string            // of PUT, EXECUTE
 	HasData  bool              // of EXECUTE
 	Term     uint64            // of PAUSE, STEPDOWN
-	HasAfter bool              // AFTERPOS stands before it
+	HasAfter bool              // an AFTERPOS precedes it
 	After    failover.Position // with HasAfter
 }
 
-// ParseStatement reads a statement as a client may send it.
+// ParseStatement parses a statement that a client may send.
 func ParseStatement(text string) (Statement, error) {
 	verb, fields, hasFields := strings.Cut(text, " ")
 	statement := Statement{Verb: Verb(verb)}
-	var whole bool
+	var isComplete bool
 	switch statement.Verb {
 	case Commit, Abort:
-		whole = !hasFields
+		isComplete = !hasFields
 	case Begin:
 		statement.ReadOnly = fields == string(Fetch)
-		whole = !hasFields || statement.ReadOnly
+		isComplete = !hasFields || statement.ReadOnly
 	case Fetch:
 		statement.Key = fields
-		whole = fields != ""
+		isComplete = fields != ""
 	case Put:
-		statement.Key, statement.Data, whole = strings.Cut(fields, " ")
-		whole = whole && statement.Key != ""
+		statement.Key, statement.Data, isComplete = strings.Cut(fields, " ")
+		isComplete = isComplete && statement.Key != ""
 	case SetOpt:
-		statement.Name, statement.Value, whole = strings.Cut(fields, " ")
-		whole = whole && statement.Name != ""
+		statement.Name, statement.Value, isComplete = strings.Cut(fields, " ")
+		isComplete = isComplete && statement.Name != ""
 	case Prepare:
-		whole = statement.readPrepare(fields)
+		isComplete = statement.parsePrepare(fields)
 	case Execute:
-		whole = statement.readExecute(fields)
+		isComplete = statement.parseExecute(fields)
 	case Release:
 		statement.Name = fields
-		whole = isWord(fields)
+		isComplete = isSingleField(fields)
 	}
-	if !whole {
-		return Statement{}, eris.Wrapf(ErrMalformed, "statement %q", shortened(verb))
+	if !isComplete {
+		return Statement{}, eris.Wrapf(ErrMalformed, "statement %q", truncated(verb))
 	}
 	return statement, nil
 }
 
-func (s *Statement) readPrepare(fields string) bool {
+func (s *Statement) parsePrepare(fields string) bool {
 	name, rest, _ := strings.Cut(fields, " ")
 	kind, shape, _ := strings.Cut(rest, " ")
 	s.Name, s.Kind, s.Shape = name, Verb(kind), shape
 	return name != "" && shape != "" && (s.Kind == Fetch || s.Kind == Put)
 }
 
-func (s *Statement) readExecute(fields string) bool {
+func (s *Statement) parseExecute(fields string) bool {
 	name, rest, _ := strings.Cut(fields, " ")
 	s.Name = name
 	s.Key, s.Data, s.HasData = strings.Cut(rest, " ")
 	return name != "" && s.Key != ""
 }
 
-// ParseInstanceStatement reads a statement as an instance takes it: also the system's own, and AFTERPOS.
+// ParseInstanceStatement parses a statement that an instance accepts, which includes internal statements and AFTERPOS.
 func ParseInstanceStatement(text string) (Statement, error) {
 	verb, fields, hasFields := strings.Cut(text, " ")
 	switch Verb(verb) {
@@ -117,12 +117,12 @@
 		}
 		return Statement{Verb: Verb(verb), Term: term}, nil
 	case afterPos:
-		return parseAfter(fields)
+		return parseAfterPosition(fields)
 	}
 	return ParseStatement(text)
 }
 
-func parseAfter(fields string) (Statement, error) {
+func parseAfterPosition(fields string) (Statement, error) {
 	position, rest, _ := strings.Cut(fields, " ")
 	after, err := ParsePosition(position)
 	if err != nil {
@@ -136,34 +136,34 @@
 	return statement, nil
 }
 
-// AfterPositionText is the text of a read or a BEGIN that must see a position.
+// AfterPositionText returns the text of a read or a BEGIN that must see the log up to the position.
 func AfterPositionText(position failover.Position, text string) string {
 	return afterPos + " " + FormatPosition(position) + " " + text
 }
 
-// PrepareText is the text that prepares a shape under a name.
+// PrepareText returns the text that prepares a shape under a name.
 func PrepareText(name string, kind Verb, shape string) string {
 	return string(Prepare) + " " + name + " " + string(kind) + " " + shape
 }
 
-// SetOptText is the text that sets a session value.
+// SetOptText returns the text that sets a session value.
 func SetOptText(name, value string) string { return string(SetOpt) + " " + name + " " + value }
 
-// RenameExecute puts another prepared name into the text of an EXECUTE and leaves the rest as it is.
+// RenameExecute replaces the prepared name in the text of an EXECUTE and leaves the rest unchanged.
 func RenameExecute(text, name string) string {
 	rest := strings.TrimPrefix(text, string(Execute)+" ")
 	_, fields, _ := strings.Cut(rest, " ")
 	return string(Execute) + " " + name + " " + fields
 }
 
-// isWord tells whether the text is one field.
-func isWord(text string) bool { return text != "" && !strings.Contains(text, " ") }
+// isSingleField reports whether the text is exactly one field.
+func isSingleField(text string) bool { return text != "" && !strings.Contains(text, " ") }
 
-// shortened keeps error texts short whatever a client sent.
-func shortened(word string) string {
-	const most = 16 // bytes: longer than any verb
-	if len(word) > most {
-		return word[:most]
+// truncated keeps error messages short whatever a client sent.
+func truncated(word string) string {
+	const maxLength = 16 // bytes: longer than any verb
+	if len(word) > maxLength {
+		return word[:maxLength]
 	}
 	return word
 }
--- a/wire/status.go
+++ b/wire/status.go
@@ -10,10 +10,10 @@
 	"eiderway/control/failover"
 )
 
-// statusFields is how many fields the row of a STATUS has. More may appear and are left unread.
+// statusFields is the number of fields in the row of a STATUS. Further fields are ignored.
 const statusFields = 7
 
-// ParseStatus reads the row with which an instance answers STATUS, PAUSE, CONTINUE and STEPDOWN.
+// ParseStatus parses the row with which an instance answers STATUS, PAUSE, CONTINUE and STEPDOWN.
 func ParseStatus(row string) (failover.Status, error) {
 	fields := strings.Fields(row)
 	if len(fields) < statusFields {
@@ -28,7 +28,7 @@
 		return failover.Status{}, err
 	}
 	status.Received = received
-	numbers := numberReader{}
+	numbers := numberParser{}
 	status.Term = numbers.unsigned(fields[1])
 	status.TermHeld = numbers.unsigned(fields[3])
 	status.LagMs = numbers.signed(fields[4])
@@ -40,7 +40,7 @@
 	return status, nil
 }
 
-// parseReceived reads the position received; an empty log has none.
+// parseReceived parses the position that the instance has received; an empty log has none.
 func parseReceived(field string) (failover.Position, error) {
 	if field == NoPosition {
 		return failover.Position{}, nil
@@ -48,22 +48,22 @@
 	return ParsePosition(field)
 }
 
-// numberReader remembers whether one of several numbers could not be read.
-type numberReader struct{ failed bool }
+// numberParser parses several numbers and records whether any of them failed.
+type numberParser struct{ failed bool }
 
-func (r *numberReader) unsigned(field string) uint64 {
+func (p *numberParser) unsigned(field string) uint64 {
 	value, err := strconv.ParseUint(field, 10, 64)
-	r.failed = r.failed || err != nil
+	p.failed = p.failed || err != nil
 	return value
 }
 
-func (r *numberReader) signed(field string) int64 {
+func (p *numberParser) signed(field string) int64 {
 	value, err := strconv.ParseInt(field, 10, 64)
-	r.failed = r.failed || err != nil
+	p.failed = p.failed || err != nil
 	return value
 }
 
-// FormatStatus writes the row that ParseStatus reads.
+// FormatStatus formats the row that ParseStatus parses.
 func FormatStatus(status failover.Status) string {
 	role := "replica"
 	if status.Primary {
@@ -81,50 +81,50 @@
 	return strings.Join(fields, " ")
 }
 
-// Status asks the instance who it is. Errors are *ConnError or *RefusedError.
+// Status asks the instance for its role, term and position. Errors are *ConnError or *RefusedError.
 func (c *Conn) Status(ctx context.Context) (failover.Status, error) {
-	return c.control(ctx, "STATUS")
+	return c.queryStatus(ctx, "STATUS")
 }
 
-// Pause keeps a replica from receiving. The term must be above the newest that it knows.
+// Pause stops a replica from receiving the log. The term must be higher than any that the instance knows.
 func (c *Conn) Pause(ctx context.Context, term uint64) (failover.Status, error) {
-	return c.control(ctx, "PAUSE "+strconv.FormatUint(term, 10))
+	return c.queryStatus(ctx, "PAUSE "+strconv.FormatUint(term, 10))
 }
 
 // Continue ends a pause.
 func (c *Conn) Continue(ctx context.Context) (failover.Status, error) {
-	return c.control(ctx, "CONTINUE")
+	return c.queryStatus(ctx, "CONTINUE")
 }
 
 // StepDown turns a primary of a lower term into a replica.
 func (c *Conn) StepDown(ctx context.Context, term uint64) (failover.Status, error) {
-	return c.control(ctx, "STEPDOWN "+strconv.FormatUint(term, 10))
+	return c.queryStatus(ctx, "STEPDOWN "+strconv.FormatUint(term, 10))
 }
 
-// Reset drops the prepared names and values of the connection.
+// Reset drops the prepared names and session values of the connection.
 func (c *Conn) Reset(ctx context.Context) error {
-	_, err := c.own(ctx, "RESET")
+	_, err := c.queryInternal(ctx, "RESET")
 	return err
 }
 
-// control sends one of the system's own statements that is answered with a status row.
-func (c *Conn) control(ctx context.Context, text string) (failover.Status, error) {
-	answer, err := c.own(ctx, text)
+// queryStatus sends an internal statement that is answered with a status row.
+func (c *Conn) queryStatus(ctx context.Context, text string) (failover.Status, error) {
+	answer, err := c.queryInternal(ctx, text)
 	if err != nil {
 		return failover.Status{}, err
 	}
 	if len(answer.Rows) != 1 {
-		return failover.Status{}, c.failed(MaybeRan, eris.Wrapf(ErrMalformed, "%d rows", len(answer.Rows)))
+		return failover.Status{}, c.fail(MaybeRan, eris.Wrapf(ErrMalformed, "%d rows instead of a status row", len(answer.Rows)))
 	}
 	status, err := ParseStatus(answer.Rows[0])
 	if err != nil {
-		return failover.Status{}, c.failed(MaybeRan, err)
+		return failover.Status{}, c.fail(MaybeRan, err)
 	}
 	return status, nil
 }
 
-// own sends one of the system's own statements.
-func (c *Conn) own(ctx context.Context, text string) (Answer, error) {
+// queryInternal sends an internal statement.
+func (c *Conn) queryInternal(ctx context.Context, text string) (Answer, error) {
 	answer, err := c.Query(ctx, InternalID, text)
 	if err != nil {
 		return Answer{}, err
