--- a/control/rpc/client.go
+++ b/control/rpc/client.go
@@ -11,38 +11,39 @@
 )
 
 var (
-	errClientClosed = eris.New("client closed")
-	errClosed       = eris.New("connection closed")
-	errGivenUp      = eris.New("connection closed because a question on it got no answer in time")
+	errClientClosed     = eris.New("client closed")
+	errConnectionClosed = eris.New("connection closed")
+	errAnswerTimeout    = eris.New("connection closed because a request on it got no answer in time")
 )
 
-// ClientCounts counts what happened on a client's connections.
+// ClientCounts counts events on a client's connections.
 type ClientCounts struct {
 	Connections uint64 // made
-	Stray       uint64 // answers that no open question had asked for; dropped
-	Broken      uint64 // connections closed because of bytes that make no answer
+	Stray       uint64 // answers without an open request; dropped
+	Broken      uint64 // connections closed because of bytes that are not a valid answer
 }
 
-// Client asks controllers. It keeps one connection for each address. The zero value is ready for use.
+// Client sends requests to controllers over one connection for each address. The zero value is ready for use.
 type Client struct {
-	Routes Routes // not to be changed after the first question
+	Routes Routes // must not change after the first request
 
 	connections, stray, broken atomic.Uint64
 
 	mutex  sync.Mutex
 	closed bool
-	lines  map[string]*line
+	conns  map[string]*clientConn
 	wait   sync.WaitGroup
 }
 
-// Watch asks the controller at the address, and waits for the answer until the context ends. A connection whose question
-// got no answer by then is closed, together with all other questions on it. Errors are *Unreachable or *Unknown.
+// Watch sends the request to the controller at the address and waits for the answer until the context ends. If there is none
+// by then, the connection is closed, which also ends all other requests on it. Errors are *UnreachableError or
+// *UnknownOutcomeError.
 func (c *Client) Watch(ctx context.Context, address string, request feed.WatchRequest) (feed.WatchAnswer, error) {
-	asked, err := c.line(ctx, address)
+	conn, err := c.connect(ctx, address)
 	if err != nil {
-		return feed.WatchAnswer{}, &Unreachable{Address: address, Cause: err}
+		return feed.WatchAnswer{}, &UnreachableError{Address: address, Cause: err}
 	}
-	return asked.ask(ctx, request)
+	return conn.ask(ctx, request)
 }
 
 // Counts returns the counts up to now.
@@ -50,70 +51,70 @@
 	return ClientCounts{Connections: c.connections.Load(), Stray: c.stray.Load(), Broken: c.broken.Load()}
 }
 
-// Close closes all connections. Open questions end as Unknown, later ones as Unreachable.
+// Close closes all connections. Open requests end with an UnknownOutcomeError, later ones with an UnreachableError.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	c.closed = true
-	var all []*line
-	for _, known := range c.lines {
-		all = append(all, known)
+	var all []*clientConn
+	for _, existing := range c.conns {
+		all = append(all, existing)
 	}
 	c.mutex.Unlock()
-	for _, known := range all {
-		known.end(errClientClosed)
+	for _, existing := range all {
+		existing.close(errClientClosed)
 	}
 	c.wait.Wait()
 }
 
-// line returns the open connection to the address, or makes one. Of two that are made at once the first is kept.
-func (c *Client) line(ctx context.Context, address string) (*line, error) {
-	if known, err := c.known(address); known != nil || err != nil {
-		return known, err
+// connect returns the open connection to the address, or makes one. If two are made at the same time, the first is kept.
+func (c *Client) connect(ctx context.Context, address string) (*clientConn, error) {
+	if existing, err := c.lookup(address); existing != nil || err != nil {
+		return existing, err
 	}
-	connection, err := dial(ctx, c.Routes.of(address))
+	connection, err := dial(ctx, c.Routes.resolve(address))
 	if err != nil {
 		return nil, err
 	}
-	made := newLine(c, address, connection)
-	kept, err := c.keep(made)
-	if kept != made {
+	created := newClientConn(c, address, connection)
+	registered, err := c.register(created)
+	if registered != created {
 		_ = connection.Close()
 	}
-	return kept, err
+	return registered, err
 }
 
-func (c *Client) known(address string) (*line, error) {
+func (c *Client) lookup(address string) (*clientConn, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closed {
 		return nil, errClientClosed
 	}
-	return c.lines[address], nil
+	return c.conns[address], nil
 }
 
-func (c *Client) keep(made *line) (*line, error) {
+func (c *Client) register(created *clientConn) (*clientConn, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closed {
 		return nil, errClientClosed
 	}
-	if earlier := c.lines[made.address]; earlier != nil {
-		return earlier, nil
+	if existing := c.conns[created.address]; existing != nil {
+		return existing, nil
 	}
-	if c.lines == nil {
-		c.lines = map[string]*line{}
+	if c.conns == nil {
+		c.conns = map[string]*clientConn{}
 	}
-	c.lines[made.address] = made
+	c.conns[created.address] = created
 	c.connections.Add(1)
 	c.wait.Add(1)
-	go made.read()
-	return made, nil
+	go created.readAnswers()
+	return created, nil
 }
 
-func (c *Client) forget(ended *line) {
+func (c *Client) forget(closed *clientConn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.lines[ended.address] == ended {
-		delete(c.lines, ended.address)
+	if c.conns[closed.address] == closed {
+		delete(c.conns, closed.address)
 	}
 }
--- a/control/rpc/client_test.go
+++ b/control/rpc/client_test.go
@@ -14,12 +14,12 @@
 )
 
 func isUnknown(err error) bool {
-	var unknown *Unknown
+	var unknown *UnknownOutcomeError
 	return errors.As(err, &unknown)
 }
 
 func isUnreachable(err error) bool {
-	var unreachable *Unreachable
+	var unreachable *UnreachableError
 	return errors.As(err, &unreachable)
 }
 
@@ -28,122 +28,122 @@
 	_, address := serve(t, Handlers{Watch: echo})
 	client := newClient(t)
 	for _, name := range []string{"first", "second"} {
-		answer, err := client.Watch(patient(t), address, asks(name))
+		answer, err := client.Watch(testContext(t), address, watchRequest(name))
 		is.NoErr(err)
 		is.Equal(answer, answerFor(name))
 	}
 	is.Equal(client.Counts(), ClientCounts{Connections: 1})
 }
 
-func TestQuestionsThatCrossGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentRequestsGetTheirOwnAnswers(t *testing.T) {
 	is := is.New(t)
 	bothAsked := make(chan struct{})
 	secondAnswered := make(chan struct{})
 	_, address := serve(t, Handlers{Watch: func(ctx context.Context, request feed.WatchRequest) (feed.WatchAnswer, bool) {
 		if request.Gateway == "first" {
 			close(bothAsked)
-			<-secondAnswered // so the answers come in the other order
+			<-secondAnswered // so the answers arrive in the opposite order
 		}
 		return echo(ctx, request)
 	}})
 	client := newClient(t)
 	var wait sync.WaitGroup
 	wait.Go(func() {
-		answer, err := client.Watch(patient(t), address, asks("first"))
+		answer, err := client.Watch(testContext(t), address, watchRequest("first"))
 		is.NoErr(err)
 		is.Equal(answer, answerFor("first"))
 	})
 	<-bothAsked
-	answer, err := client.Watch(patient(t), address, asks("second"))
+	answer, err := client.Watch(testContext(t), address, watchRequest("second"))
 	close(secondAnswered)
 	wait.Wait()
 	is.NoErr(err)
 	is.Equal(answer, answerFor("second"))
 }
 
-func TestNothingSentIsUnreachable(t *testing.T) {
+func TestRequestThatWasNotSentIsUnreachable(t *testing.T) {
 	is := is.New(t)
 	client := newClient(t)
-	_, err := client.Watch(patient(t), loopback.ReserveForTest(t).Address(), asks("x")) // nobody listens there
+	_, err := client.Watch(testContext(t), loopback.ReserveForTest(t).Address(), watchRequest("x")) // nobody listens there
 	is.True(isUnreachable(err))
 
 	_, address := serve(t, Handlers{Watch: echo})
-	_, err = client.Watch(patient(t), address, asks("x"))
+	_, err = client.Watch(testContext(t), address, watchRequest("x"))
 	is.NoErr(err)
-	ended, end := context.WithCancel(patient(t))
+	ended, end := context.WithCancel(testContext(t))
 	end()
-	_, err = client.Watch(ended, address, asks("x"))
+	_, err = client.Watch(ended, address, watchRequest("x"))
 	is.True(isUnreachable(err))
 	client.Close()
-	_, err = client.Watch(patient(t), address, asks("x"))
+	_, err = client.Watch(testContext(t), address, watchRequest("x"))
 	is.True(isUnreachable(err))
 }
 
-// A server that doesn't answer costs the connection. What it answers after that, and on whichever connection, is never
-// taken for the answer to a later question.
-func TestConnectionIsNotUsedAgainAfterAQuestionWithoutAnswer(t *testing.T) {
+// A connection is closed after a request without an answer. A late answer, on whichever connection, must never be taken for
+// the answer to a later request.
+func TestConnectionIsNotReusedAfterARequestWithoutAnswer(t *testing.T) {
 	is := is.New(t)
 	asked := make(chan struct{})
-	address := script(t, func(connection *scripted) {
-		question, _ := connection.question(false)
+	address := scriptedServer(t, func(connection *scriptedConn) {
+		request, _ := connection.request(false)
 		if connection.number == 1 {
 			close(asked)
 			connection.waitForEnd()
-			connection.answer(question.ID, "late")
+			connection.answer(request.ID, "late")
 			return
 		}
-		connection.answer(question.ID, question.Request.Gateway)
+		connection.answer(request.ID, request.Request.Gateway)
 		connection.waitForEnd()
 	})
 	client := newClient(t)
-	ctx, giveUp := context.WithCancel(patient(t))
+	ctx, giveUp := context.WithCancel(testContext(t))
 	go func() {
 		<-asked
 		giveUp()
 	}()
-	_, err := client.Watch(ctx, address, asks("first"))
+	_, err := client.Watch(ctx, address, watchRequest("first"))
 	is.True(isUnknown(err))
 	is.True(errors.Is(err, context.Canceled))
-	answer, err := client.Watch(patient(t), address, asks("second"))
+	answer, err := client.Watch(testContext(t), address, watchRequest("second"))
 	is.NoErr(err)
 	is.Equal(answer, answerFor("second"))
 	is.Equal(client.Counts(), ClientCounts{Connections: 2})
 }
 
-func TestAnswersThatNobodyAskedForAreDropped(t *testing.T) {
+func TestAnswersWithoutRequestAreDropped(t *testing.T) {
 	is := is.New(t)
-	address := script(t, func(connection *scripted) {
-		question, _ := connection.question(false)
-		connection.answer(question.ID+1, "of the next question")
+	address := scriptedServer(t, func(connection *scriptedConn) {
+		request, _ := connection.request(false)
+		connection.answer(request.ID+1, "of the next question")
 		connection.answer(0, "of none")
-		connection.answer(question.ID, "right")
-		connection.answer(question.ID, "again")
-		question, _ = connection.question(true)
-		connection.answer(question.ID, "right too")
+		connection.answer(request.ID, "right")
+		connection.answer(request.ID, "again")
+		request, _ = connection.request(true)
+		connection.answer(request.ID, "right too")
 		connection.waitForEnd()
 	})
 	client := newClient(t)
-	answer, err := client.Watch(patient(t), address, asks("x"))
+	answer, err := client.Watch(testContext(t), address, watchRequest("x"))
 	is.NoErr(err)
 	is.Equal(answer, answerFor("right"))
-	answer, err = client.Watch(patient(t), address, asks("x"))
+	answer, err = client.Watch(testContext(t), address, watchRequest("x"))
 	is.NoErr(err)
 	is.Equal(answer, answerFor("right too"))
 	is.Equal(client.Counts(), ClientCounts{Connections: 1, Stray: 3})
 }
 
-func TestQuestionEndsWithItsConnection(t *testing.T) {
+func TestRequestEndsWithItsConnection(t *testing.T) {
 	tooLongFrame := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
 	cases := []struct {
 		name   string
 		broken uint64
-		play   func(connection *scripted)
+		play   func(connection *scriptedConn)
 	}{
-		{"closed", 0, func(*scripted) {}},
-		{"reset", 0, func(connection *scripted) { connection.reset() }},
-		{"closed within a frame", 0, func(connection *scripted) { _, _ = connection.Write([]byte{0, 0, 1, 0, 7}) }},
-		{"garbage", 1, func(connection *scripted) { _, _ = connection.Write([]byte("\x00\x00\x00\x05abcde")) }},
-		{"too long", 1, func(connection *scripted) {
+		{"closed", 0, func(*scriptedConn) {}},
+		{"reset", 0, func(connection *scriptedConn) { connection.reset() }},
+		{"closed within a frame", 0, func(connection *scriptedConn) { _, _ = connection.Write([]byte{0, 0, 1, 0, 7}) }},
+		{"garbage", 1, func(connection *scriptedConn) { _, _ = connection.Write([]byte("\x00\x00\x00\x05abcde")) }},
+		{"too long", 1, func(connection *scriptedConn) {
 			_, _ = connection.Write(tooLongFrame)
 			connection.waitForEnd()
 		}},
@@ -151,19 +151,19 @@
 	for _, fault := range cases {
 		t.Run(fault.name, func(t *testing.T) {
 			is := is.New(t)
-			address := script(t, func(connection *scripted) {
-				question, _ := connection.question(false)
+			address := scriptedServer(t, func(connection *scriptedConn) {
+				request, _ := connection.request(false)
 				if connection.number == 1 {
 					fault.play(connection)
 					return
 				}
-				connection.answer(question.ID, "sound")
+				connection.answer(request.ID, "sound")
 				connection.waitForEnd()
 			})
 			client := newClient(t)
-			_, err := client.Watch(patient(t), address, asks("x"))
+			_, err := client.Watch(testContext(t), address, watchRequest("x"))
 			is.True(isUnknown(err))
-			answer, err := client.Watch(patient(t), address, asks("x"))
+			answer, err := client.Watch(testContext(t), address, watchRequest("x"))
 			is.NoErr(err)
 			is.Equal(answer, answerFor("sound"))
 			is.Equal(client.Counts(), ClientCounts{Connections: 2, Broken: fault.broken})
@@ -171,11 +171,11 @@
 	}
 }
 
-func TestClosingTheClientEndsItsQuestions(t *testing.T) {
+func TestClosingTheClientEndsItsRequests(t *testing.T) {
 	is := is.New(t)
 	asked := make(chan struct{})
-	address := script(t, func(connection *scripted) {
-		_, _ = connection.question(false)
+	address := scriptedServer(t, func(connection *scriptedConn) {
+		_, _ = connection.request(false)
 		close(asked)
 		connection.waitForEnd()
 	})
@@ -184,6 +184,6 @@
 		<-asked
 		client.Close()
 	}()
-	_, err := client.Watch(patient(t), address, asks("x"))
+	_, err := client.Watch(testContext(t), address, watchRequest("x"))
 	is.True(isUnknown(err))
 }
--- a/control/rpc/connection.go
+++ b/control/rpc/connection.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// A connection is made within a few milliseconds where there is a path. Longer than this, the peer is cut off or
-	// without power; a lost opening packet is sent again by the next attempt.
+	// dialTimeout bounds one attempt to connect. Where there is a path, connecting takes a few milliseconds; if it takes longer
+	// than this, the peer is unreachable or off. If the SYN was lost, the next attempt sends another.
 	dialTimeout = 400 * time.Millisecond
-	// After this long without a word from the other side about bytes that were sent, the connection counts as dead. The
-	// next one is made at once where the peer is there, so this is short of what others wait for a controller.
+	// unackedTimeout is how long sent bytes may remain unacknowledged before the connection counts as dead. If the peer is up,
+	// the next connection is made at once, so this is shorter than the time that others wait for a controller.
 	unackedTimeout = 1500 * time.Millisecond
-	// Each of these many bytes gets the time of writeTimeout: a large frame on a slow link takes longer than a small one,
-	// but a peer that doesn't read is found out by the first that doesn't go.
-	writeStep    = 16 << 10
+	// writeTimeout applies to each chunk of writeChunk bytes: a large frame may take long on a slow link, but a peer that
+	// doesn't read is detected at the first chunk that can't be written.
+	writeChunk   = 16 << 10
 	writeTimeout = unackedTimeout
 )
 
-// Routes says where to connect to instead, for addresses that are reached through a relay, such as a tunnel between sites. Others are
-// reached directly.
+// Routes maps the addresses that are reached through a relay, such as a tunnel between sites, to the address to connect to
+// instead. All others are reached directly.
 type Routes map[string]string
 
-func (r Routes) of(address string) string {
+func (r Routes) resolve(address string) string {
 	if via, found := r[address]; found {
 		return via
 	}
 	return address
 }
 
-// dial makes a connection to another process.
+// dial connects to another process.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp4", address)
@@ -41,18 +41,18 @@
 
 // setUserTimeout bounds how long sent bytes may stay without an acknowledgement.
 func setUserTimeout(_, _ string, connection syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := connection.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// bound sets the user timeout on a connection that was accepted. A failure leaves the write deadlines.
-func bound(connection net.Conn) {
+// limitUnacked sets the user timeout on an accepted connection. If that fails, the write deadlines still apply.
+func limitUnacked(connection net.Conn) {
 	if plain, ok := connection.(syscall.Conn); ok {
 		if raw, err := plain.SyscallConn(); err == nil {
 			_ = setUserTimeout("", "", raw)
@@ -60,19 +60,20 @@
 	}
 }
 
-// write writes all bytes, as long as the other side takes some now and then. Latest, if given, bounds the whole.
-func write(connection net.Conn, contents []byte, latest time.Time) error {
+// writeAll writes all bytes as long as the other side accepts each chunk in time. The deadline latest, unless zero, bounds the
+// whole.
+func writeAll(connection net.Conn, contents []byte, latest time.Time) error {
 	for len(contents) > 0 {
-		step := contents[:min(len(contents), writeStep)]
+		chunk := contents[:min(len(contents), writeChunk)]
 		deadline := time.Now().Add(writeTimeout)
 		if !latest.IsZero() && latest.Before(deadline) {
 			deadline = latest
 		}
 		_ = connection.SetWriteDeadline(deadline)
-		if _, err := connection.Write(step); err != nil {
+		if _, err := connection.Write(chunk); err != nil {
 			return err
 		}
-		contents = contents[len(step):]
+		contents = contents[len(chunk):]
 	}
 	return nil
 }
--- a/control/rpc/errors.go
+++ b/control/rpc/errors.go
@@ -2,28 +2,28 @@
 
 import "fmt"
 
-// Unreachable ends a question of which nothing was sent.
-type Unreachable struct {
+// UnreachableError ends a request of which nothing was sent.
+type UnreachableError struct {
 	Address string
 	Cause   error
 }
 
-func (e *Unreachable) Error() string {
+func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("controller %s can't be reached: %v", e.Address, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *Unreachable) Unwrap() error { return e.Cause }
+func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// Unknown ends a question that was sent, wholly or in part, and got no answer. It may have been taken.
-type Unknown struct {
+// UnknownOutcomeError ends a request that was sent, wholly or in part, and got no answer. The controller may have processed it.
+type UnknownOutcomeError struct {
 	Address string
 	Cause   error
 }
 
-func (e *Unknown) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("controller %s gave no answer: %v", e.Address, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *Unknown) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
--- a/control/rpc/frame.go
+++ b/control/rpc/frame.go
@@ -1,12 +1,12 @@
-// Package rpc carries talk between our processes over TCP: one-way messages between controllers (Peers), and gateways'
-// questions to a controller (Client). Server takes both.
+// Package rpc connects the processes of the system over TCP: Peers sends one-way messages between controllers, Client sends
+// the requests of a gateway to a controller, and Server receives both.
 //
-// A connection begins with a greeting that names the protocol, its version and who calls. Then come frames: a length and
-// one gob value. The length is bounded, and a value is delivered only if its whole frame was read and nothing is left
-// over, so bytes of a broken stream are never handed on. What gob knows of types lives as long as the connection does.
+// A connection begins with a greeting that names the protocol, its version and the kind of caller. Then come frames: a length
+// and one gob value. The length is bounded, and a value is delivered only if its whole frame was read and nothing is left
+// over, so no part of a broken stream is ever delivered. Type descriptions of gob are sent once per connection.
 //
-// Messages may be lost, and come late or twice after a reconnect: whoever takes them must bear that. As gob sends no
-// zero values, an empty slice arrives as nil, and so does a pointer to a zero number.
+// Messages may be lost, and may arrive late or twice after a reconnect; receivers must tolerate that. As gob omits zero
+// values, an empty slice arrives as nil, and so does a pointer to a zero number.
 package rpc
 
 import (
@@ -22,22 +22,22 @@
 )
 
 const (
-	// MaxFrame bounds the bytes of one value on the wire. The largest is a table, or a change, with a configuration of
-	// the longest body that is taken; this is twice that body.
+	// MaxFrame is the largest size of one value on the wire, in bytes. The largest values are tables and changes that hold a
+	// configuration; this is twice the largest configuration body that is accepted.
 	MaxFrame = 8 << 20
 
-	lengthBytes   = 4
-	maxGreeting   = 64       // bytes: longer than any greeting of this and later versions
-	keptBuffer    = 8 << 10  // bytes: a buffer that grew beyond is given back after use; there may be thousands
-	readStep      = 64 << 10 // bytes: room made at once for a frame whose bytes haven't arrived yet
-	readBuffer    = 2 << 10  // bytes: most frames come with one read
-	greetingStart = "eiderway-rpc/1 "
+	lengthBytes    = 4
+	maxGreeting    = 64       // bytes: longer than any greeting of this or a later version
+	maxKeptBuffer  = 8 << 10  // bytes: a larger buffer is released after use, because there may be thousands of connections
+	readChunk      = 64 << 10 // bytes: memory allocated at a time for a frame that has not arrived yet
+	readBufferSize = 2 << 10  // bytes: enough to receive most frames with one read
+	greetingPrefix = "eiderway-rpc/1 "
 )
 
-// Kinds of callers, as in the greeting.
+// Kinds of callers in the greeting.
 const (
-	kindPeer    = "peer"    // a controller: one-way messages
-	kindGateway = "gateway" // questions
+	kindPeer    = "peer"    // a controller, which sends one-way messages
+	kindGateway = "gateway" // a gateway, which sends requests
 )
 
 var (
@@ -46,7 +46,7 @@
 	errBadFrame     = eris.New("frame does not hold one value")
 )
 
-// encoder gathers frames for one connection.
+// encoder buffers frames for one connection.
 type encoder struct {
 	buffer bytes.Buffer
 	values *gob.Encoder
@@ -56,19 +56,19 @@
 	encoder := &encoder{}
 	encoder.values = gob.NewEncoder(&encoder.buffer)
 	if kind != "" {
-		encoder.greet(kind)
+		encoder.addGreeting(kind)
 	}
 	return encoder
 }
 
-func (e *encoder) greet(kind string) {
-	greeting := greetingStart + kind
+func (e *encoder) addGreeting(kind string) {
+	greeting := greetingPrefix + kind
 	e.buffer.Write(binary.BigEndian.AppendUint32(nil, uint32(len(greeting))))
 	e.buffer.WriteString(greeting)
 }
 
-// add appends the value as one frame. After an error the connection must not be used any more, because the other side
-// would miss type descriptions that gob takes for sent.
+// add appends the value as one frame. After an error the encoder must not be used any more, because gob would not send again
+// the type descriptions that were dropped with the frame.
 func (e *encoder) add(value any) error {
 	start := e.buffer.Len()
 	e.buffer.Write(make([]byte, lengthBytes))
@@ -87,18 +87,18 @@
 
 func (e *encoder) size() int { return e.buffer.Len() }
 
-// flush writes what was gathered. Latest, if given, bounds the time that it takes.
+// flush writes the buffered frames. The deadline latest, unless zero, bounds the whole write.
 func (e *encoder) flush(connection net.Conn, latest time.Time) error {
-	err := write(connection, e.buffer.Bytes(), latest)
-	if e.buffer.Cap() > keptBuffer {
-		e.buffer = bytes.Buffer{} // the gob encoder holds the address of the buffer, which stays
+	err := writeAll(connection, e.buffer.Bytes(), latest)
+	if e.buffer.Cap() > maxKeptBuffer {
+		e.buffer = bytes.Buffer{} // keeps its address, which the gob encoder refers to
 	} else {
 		e.buffer.Reset()
 	}
 	return err
 }
 
-// decoder reads frames of one connection.
+// decoder reads frames from one connection.
 type decoder struct {
 	source io.Reader
 	length [lengthBytes]byte
@@ -108,18 +108,18 @@
 }
 
 func newDecoder(source io.Reader) *decoder {
-	decoder := &decoder{source: bufio.NewReaderSize(source, readBuffer)}
+	decoder := &decoder{source: bufio.NewReaderSize(source, readBufferSize)}
 	decoder.values = gob.NewDecoder(&decoder.bytes)
 	return decoder
 }
 
-// greeting reads the first frame and returns the kind of the caller.
-func (d *decoder) greeting() (string, error) {
-	if err := d.next(maxGreeting); err != nil {
+// readGreeting reads the first frame and returns the kind of the caller.
+func (d *decoder) readGreeting() (string, error) {
+	if err := d.readFrame(maxGreeting); err != nil {
 		return "", err
 	}
-	kind, ours := bytes.CutPrefix(d.frame, []byte(greetingStart))
-	if !ours {
+	kind, isOurs := bytes.CutPrefix(d.frame, []byte(greetingPrefix))
+	if !isOurs {
 		return "", errBadGreeting
 	}
 	switch string(kind) {
@@ -131,9 +131,9 @@
 	return "", errBadGreeting
 }
 
-// value reads one frame into the zero value that target points to.
-func (d *decoder) value(target any) error {
-	if err := d.next(MaxFrame); err != nil {
+// readValue reads one frame into target, which must point to a zero value.
+func (d *decoder) readValue(target any) error {
+	if err := d.readFrame(MaxFrame); err != nil {
 		return err
 	}
 	d.bytes.Reset(d.frame)
@@ -146,7 +146,8 @@
 	return nil
 }
 
-// decode does not let a hostile stream end the process: gob panics at some that no gob encoder writes.
+// decode turns panics into errors: gob panics on some streams that no gob encoder writes, and a hostile stream must not end the
+// process.
 func (d *decoder) decode(target any) (err error) {
 	defer func() {
 		if recover() != nil {
@@ -159,35 +160,35 @@
 	return nil
 }
 
-func (d *decoder) next(longest int) error {
+func (d *decoder) readFrame(maxLength int) error {
 	if _, err := io.ReadFull(d.source, d.length[:]); err != nil {
 		return err
 	}
 	length := int(binary.BigEndian.Uint32(d.length[:]))
-	if length > longest {
+	if length > maxLength {
 		return eris.Wrapf(errFrameTooLong, "%d bytes", length)
 	}
-	return d.fill(length)
+	return d.readBody(length)
 }
 
-// fill reads the frame. Room is made as bytes arrive, not as the length promises.
-func (d *decoder) fill(length int) error {
-	if cap(d.frame) > keptBuffer {
+// readBody reads a frame of this length. Memory is allocated as the bytes arrive, not for the announced length at once.
+func (d *decoder) readBody(length int) error {
+	if cap(d.frame) > maxKeptBuffer {
 		d.frame = nil
 	}
 	d.frame = d.frame[:0]
 	for len(d.frame) < length {
-		step := min(length-len(d.frame), readStep)
+		chunk := min(length-len(d.frame), readChunk)
 		filled := len(d.frame)
-		d.frame = append(d.frame, make([]byte, step)...)
+		d.frame = append(d.frame, make([]byte, chunk)...)
 		if _, err := io.ReadFull(d.source, d.frame[filled:]); err != nil {
-			return unexpected(err)
+			return unexpectedEOF(err)
 		}
 	}
 	return nil
 }
 
-func unexpected(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/control/rpc/frame_test.go
+++ b/control/rpc/frame_test.go
@@ -19,8 +19,8 @@
 	"eiderway/control/replication"
 )
 
-// framed returns the bytes of a connection that carries these values.
-func framed(t *testing.T, kind string, values ...any) []byte {
+// encodeFrames returns the bytes that are sent on a connection for these values.
+func encodeFrames(t *testing.T, kind string, values ...any) []byte {
 	t.Helper()
 	encoder := newEncoder(kind)
 	for _, value := range values {
@@ -31,7 +31,7 @@
 	return encoder.buffer.Bytes()
 }
 
-func TestEveryKindOfMessageIsCarried(t *testing.T) {
+func TestEveryKindOfMessageIsTransferred(t *testing.T) {
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[replication.Message]()) {
 		if field.Type.Kind() != reflect.Pointer {
 			continue
@@ -41,17 +41,17 @@
 			sent := peerFrame{Message: replication.Message{To: "x", Request: 7}}
 			kind := reflect.New(field.Type.Elem())
 			reflect.ValueOf(&sent.Message).Elem().FieldByIndex(field.Index).Set(kind)
-			source := newDecoder(bytes.NewReader(framed(t, "", sent, sent)))
-			for range 2 { // with the descriptions of types, and without
+			source := newDecoder(bytes.NewReader(encodeFrames(t, "", sent, sent)))
+			for range 2 { // the first with type descriptions, the second without
 				var got peerFrame
-				is.NoErr(source.value(&got))
+				is.NoErr(source.readValue(&got))
 				is.Equal(got, sent)
 			}
 		})
 	}
 }
 
-func TestTablesAreCarriedWhole(t *testing.T) {
+func TestTablesAreTransferredCompletely(t *testing.T) {
 	is := is.New(t)
 	table := &feed.Table{
 		Version:             feed.Version{Epoch: 3, Sequence: math.MaxUint64},
@@ -66,20 +66,20 @@
 	}
 	sent := answerFrame{ID: 1, Answer: feed.WatchAnswer{Table: table, Lease: time.Second}}
 	var got answerFrame
-	is.NoErr(newDecoder(bytes.NewReader(framed(t, "", sent))).value(&got))
+	is.NoErr(newDecoder(bytes.NewReader(encodeFrames(t, "", sent))).readValue(&got))
 	is.Equal(got, sent)
 }
 
-func TestNothingOfABrokenFrameIsDelivered(t *testing.T) {
+func TestIncompleteFrameIsNotDelivered(t *testing.T) {
 	is := is.New(t)
-	whole := framed(t, "", questionFrame{ID: 1, Request: asks("first")}, questionFrame{ID: 2, Request: asks("second")})
+	whole := encodeFrames(t, "", requestFrame{ID: 1, Request: watchRequest("first")}, requestFrame{ID: 2, Request: watchRequest("second")})
 	firstLength := lengthBytes + int(binary.BigEndian.Uint32(whole))
 	for length := range whole {
 		source := newDecoder(bytes.NewReader(whole[:length]))
-		var first, second questionFrame
-		is.Equal(source.value(&first) == nil, length >= firstLength)
-		is.True(source.value(&second) != nil)
-		is.Equal(second, questionFrame{})
+		var first, second requestFrame
+		is.Equal(source.readValue(&first) == nil, length >= firstLength)
+		is.True(source.readValue(&second) != nil)
+		is.Equal(second, requestFrame{})
 	}
 }
 
@@ -87,49 +87,49 @@
 	is := is.New(t)
 	var values bytes.Buffer
 	together := gob.NewEncoder(&values)
-	is.NoErr(together.Encode(questionFrame{ID: 1}))
-	is.NoErr(together.Encode(questionFrame{ID: 2}))
+	is.NoErr(together.Encode(requestFrame{ID: 1}))
+	is.NoErr(together.Encode(requestFrame{ID: 2}))
 	frame := append(binary.BigEndian.AppendUint32(nil, uint32(values.Len())), values.Bytes()...)
-	var got questionFrame
-	is.True(isBroken(newDecoder(bytes.NewReader(frame)).value(&got)))
+	var got requestFrame
+	is.True(isBroken(newDecoder(bytes.NewReader(frame)).readValue(&got)))
 }
 
-func TestLengthBeyondTheBoundIsRefusedUnread(t *testing.T) {
+func TestTooLongFrameIsRejectedUnread(t *testing.T) {
 	is := is.New(t)
 	length := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
-	source := newDecoder(io.MultiReader(bytes.NewReader(length), neverEnding{}))
-	var got questionFrame
-	is.True(isBroken(source.value(&got)))
+	source := newDecoder(io.MultiReader(bytes.NewReader(length), endlessReader{}))
+	var got requestFrame
+	is.True(isBroken(source.readValue(&got)))
 	is.Equal(cap(source.frame), 0)
 }
 
-func TestRoomIsMadeAsBytesArrive(t *testing.T) {
+func TestMemoryIsAllocatedAsBytesArrive(t *testing.T) {
 	is := is.New(t)
 	promise := append(binary.BigEndian.AppendUint32(nil, MaxFrame), "only a little"...)
 	source := newDecoder(bytes.NewReader(promise))
-	var got questionFrame
-	is.Equal(source.value(&got), io.ErrUnexpectedEOF)
-	is.True(cap(source.frame) <= 2*readStep)
+	var got requestFrame
+	is.Equal(source.readValue(&got), io.ErrUnexpectedEOF)
+	is.True(cap(source.frame) <= 2*readChunk)
 }
 
-func TestValueBeyondTheBoundIsNotSent(t *testing.T) {
+func TestTooLongValueIsNotSent(t *testing.T) {
 	is := is.New(t)
 	encoder := newEncoder("")
-	is.NoErr(encoder.add(questionFrame{ID: 1}))
+	is.NoErr(encoder.add(requestFrame{ID: 1}))
 	before := encoder.size()
-	is.True(isBroken(encoder.add(peerFrame{Message: tooLong()})))
-	is.Equal(encoder.size(), before) // what was gathered before can still be written
+	is.True(isBroken(encoder.add(peerFrame{Message: tooLongMessage()})))
+	is.Equal(encoder.size(), before) // what was added before can still be written
 }
 
 func TestGreetings(t *testing.T) {
 	cases := []struct {
 		name, greeting, kind string
 	}{
-		{"controller", greetingStart + kindPeer, kindPeer},
-		{"gateway", greetingStart + kindGateway, kindGateway},
+		{"controller", greetingPrefix + kindPeer, kindPeer},
+		{"gateway", greetingPrefix + kindGateway, kindGateway},
 		{"another version", "eiderway-rpc/2 peer", ""},
-		{"another kind", greetingStart + "operator", ""},
-		{"more behind", greetingStart + kindPeer + " x", ""},
+		{"another kind", greetingPrefix + "operator", ""},
+		{"more behind", greetingPrefix + kindPeer + " x", ""},
 		{"no protocol", kindPeer, ""},
 		{"nothing", "", ""},
 	}
@@ -137,14 +137,14 @@
 		t.Run(example.name, func(t *testing.T) {
 			is := is.New(t)
 			frame := append(binary.BigEndian.AppendUint32(nil, uint32(len(example.greeting))), example.greeting...)
-			kind, err := newDecoder(bytes.NewReader(frame)).greeting()
+			kind, err := newDecoder(bytes.NewReader(frame)).readGreeting()
 			is.Equal(kind, example.kind)
 			is.Equal(err == nil, example.kind != "")
 		})
 	}
 }
 
-// FuzzFrames feeds bytes that somebody else made up: an error is right, a panic or a hang is not.
+// FuzzFrames decodes arbitrary bytes: it may return an error, but must not panic or hang.
 func FuzzFrames(f *testing.F) {
 	encoder := newEncoder("")
 	_ = encoder.add(peerFrame{Message: message(1)})
@@ -154,19 +154,19 @@
 		source := newDecoder(bytes.NewReader(stream))
 		for {
 			var frame peerFrame
-			if source.value(&frame) != nil {
+			if source.readValue(&frame) != nil {
 				return
 			}
 		}
 	})
 }
 
-func tooLong() replication.Message {
+func tooLongMessage() replication.Message {
 	return replication.Message{Piece: &replication.Piece{Bytes: make([]byte, MaxFrame)}}
 }
 
-type neverEnding struct{}
+type endlessReader struct{}
 
-func (neverEnding) Read(into []byte) (int, error) { return len(into), nil }
+func (endlessReader) Read(into []byte) (int, error) { return len(into), nil }
 
-var _ net.Conn = (*scripted)(nil)
+var _ net.Conn = (*scriptedConn)(nil)
--- a/control/rpc/message.go
+++ b/control/rpc/message.go
@@ -10,13 +10,13 @@
 	Message replication.Message
 }
 
-// questionFrame carries a gateway's question.
-type questionFrame struct {
-	ID      uint64 // from 1 on, rising on a connection
+// requestFrame carries a gateway's request.
+type requestFrame struct {
+	ID      uint64 // starts at 1 and increases on each connection
 	Request feed.WatchRequest
 }
 
-// answerFrame carries the answer to the question with this ID.
+// answerFrame carries the answer to the request with this ID.
 type answerFrame struct {
 	ID     uint64
 	Answer feed.WatchAnswer
--- a/control/rpc/packing.go
+++ b/control/rpc/packing.go
@@ -14,42 +14,45 @@
 )
 
 const (
-	// packFrom is the size of a configuration, in bytes, from which packing pays: a smaller one fits one packet.
-	packFrom = 1 << 10
-	// packServicesFrom is the number of services from which packing pays: each takes some hundred bytes.
-	packServicesFrom = 8
-	// packedKept is how many packed parts are kept. All gateways get the same at about the same time, but some are a version behind.
-	packedKept = 4
-	// mostUnpacked bounds what is unpacked, in bytes: more than any table takes.
-	mostUnpacked = 8 * MaxFrame
+	// minPackedConfiguration is the size in bytes from which a configuration is packed: a smaller one fits into one packet anyway.
+	minPackedConfiguration = 1 << 10
+	// minPackedServices is the number of services from which they are packed: each takes a few hundred bytes.
+	minPackedServices = 8
+	// packCacheSize is the number of packed parts that are cached. All gateways receive the same parts at about the same time, but
+	// some are a version behind.
+	packCacheSize = 4
+	// maxUnpacked is the largest size of an unpacked part in bytes, larger than any table.
+	maxUnpacked = 8 * MaxFrame
 )
 
-// packedParts are the large parts of an answer's table, which is without them then; nil: not packed.
+// packedParts holds the large parts of an answer's table in compressed form; they are then missing from the table itself. A part
+// that is nil was not packed.
 type packedParts struct {
 	Configuration []byte
 	Services      []byte
 }
 
-// packing packs the large parts of tables. Tables share them, and nobody changes them, so one is known by where it lies.
-type packing struct {
-	configurations packedRing[byte]
-	services       packedRing[feed.Service]
+// packer compresses the large parts of tables. Tables share these parts and nobody changes them, so a part is identified by its
+// address.
+type packer struct {
+	configurations packCache[byte]
+	services       packCache[feed.Service]
 }
 
-// pack takes what is large out of the answer's table and returns it packed.
-func (p *packing) pack(answer *feed.WatchAnswer) (packedParts, error) {
+// pack removes the large parts from a copy of the answer's table and returns them packed.
+func (p *packer) pack(answer *feed.WatchAnswer) (packedParts, error) {
 	var parts packedParts
 	if answer.Table == nil {
 		return parts, nil
 	}
 	table := *answer.Table
 	var err error
-	if len(table.Configuration) >= packFrom {
-		parts.Configuration, err = p.configurations.of(table.Configuration, func(source []byte) ([]byte, error) { return source, nil })
+	if len(table.Configuration) >= minPackedConfiguration {
+		parts.Configuration, err = p.configurations.get(table.Configuration, func(source []byte) ([]byte, error) { return source, nil })
 		table.Configuration = nil
 	}
-	if err == nil && len(table.Services) >= packServicesFrom {
-		parts.Services, err = p.services.of(table.Services, encodeServices)
+	if err == nil && len(table.Services) >= minPackedServices {
+		parts.Services, err = p.services.get(table.Services, encodeServices)
 		table.Services = nil
 	}
 	answer.Table = &table
@@ -62,24 +65,24 @@
 	return buffer.Bytes(), eris.Wrap(err, "pack services")
 }
 
-// packedRing keeps the parts of one kind that were packed last.
-type packedRing[Element any] struct {
-	mutex sync.Mutex
-	kept  []packedPart[Element] // the oldest first
+// packCache holds the most recently packed parts of one kind.
+type packCache[Element any] struct {
+	mutex   sync.Mutex
+	entries []packCacheEntry[Element] // oldest first
 }
 
-type packedPart[Element any] struct {
+type packCacheEntry[Element any] struct {
 	source []Element
 	packed []byte
 }
 
-// of gives the part packed.
-func (r *packedRing[Element]) of(source []Element, encode func([]Element) ([]byte, error)) ([]byte, error) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	for _, known := range r.kept {
-		if len(known.source) == len(source) && &known.source[0] == &source[0] {
-			return known.packed, nil
+// get returns the packed part, from the cache if it is there.
+func (c *packCache[Element]) get(source []Element, encode func([]Element) ([]byte, error)) ([]byte, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, entry := range c.entries {
+		if len(entry.source) == len(source) && &entry.source[0] == &source[0] {
+			return entry.packed, nil
 		}
 	}
 	encoded, err := encode(source)
@@ -90,10 +93,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(r.kept) == packedKept {
-		r.kept = append(r.kept[:0:0], r.kept[1:]...)
+	if len(c.entries) == packCacheSize {
+		c.entries = append(c.entries[:0:0], c.entries[1:]...)
 	}
-	r.kept = append(r.kept, packedPart[Element]{source, packed})
+	c.entries = append(c.entries, packCacheEntry[Element]{source, packed})
 	return packed, nil
 }
 
@@ -112,13 +115,13 @@
 	return buffer.Bytes(), nil
 }
 
-// unpack puts packed parts back into the answer's table.
+// unpack restores the packed parts of the answer's table.
 func unpack(answer *feed.WatchAnswer, parts packedParts) error {
 	if len(parts.Configuration) == 0 && len(parts.Services) == 0 {
 		return nil
 	}
 	if answer.Table == nil {
-		return eris.Wrap(errBadFrame, "parts of a table that isn't there")
+		return eris.Wrap(errBadFrame, "packed parts without a table")
 	}
 	if len(parts.Configuration) > 0 {
 		body, err := inflate(parts.Configuration, configuration.MaxBody)
@@ -130,21 +133,21 @@
 	if len(parts.Services) == 0 {
 		return nil
 	}
-	encoded, err := inflate(parts.Services, mostUnpacked)
+	encoded, err := inflate(parts.Services, maxUnpacked)
 	if err != nil {
 		return err
 	}
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&answer.Table.Services); err != nil {
-		return eris.Wrap(errBadFrame, "services that can't be read")
+		return eris.Wrap(errBadFrame, "services can't be decoded")
 	}
 	return nil
 }
 
-func inflate(packed []byte, most int) ([]byte, error) {
+func inflate(packed []byte, maxSize int) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
-	unpacked, err := io.ReadAll(io.LimitReader(reader, int64(most)+1))
-	if err != nil || len(unpacked) > most {
-		return nil, eris.Wrap(errBadFrame, "a part that can't be unpacked")
+	unpacked, err := io.ReadAll(io.LimitReader(reader, int64(maxSize)+1))
+	if err != nil || len(unpacked) > maxSize {
+		return nil, eris.Wrap(errBadFrame, "a packed part can't be decompressed")
 	}
 	return unpacked, nil
 }
--- a/control/rpc/packing_test.go
+++ b/control/rpc/packing_test.go
@@ -12,7 +12,7 @@
 	"eiderway/control/feed"
 )
 
-// routes is a body as large as one with many routes, and as repetitive.
+// routes returns a configuration body with this many routes, which is as repetitive as a real one.
 func routes(count int) []byte {
 	var body bytes.Buffer
 	for number := range count {
@@ -21,18 +21,18 @@
 	return body.Bytes()
 }
 
-func TestConfigurationTravelsPacked(t *testing.T) {
+func TestLargeConfigurationIsPacked(t *testing.T) {
 	is := is.New(t)
 	body := routes(400)
 	table := &feed.Table{ConfigurationNumber: 7, Configuration: body}
-	shared := &packing{}
+	shared := &packer{}
 	for range 3 {
 		answer := feed.WatchAnswer{Table: table}
 		packed, err := shared.pack(&answer)
 		is.NoErr(err)
 		is.True(len(packed.Configuration) > 0 && len(packed.Configuration) < len(body)/8) // a configuration repeats itself
-		is.True(answer.Table.Configuration == nil)                                        // it travels once
-		is.True(bytes.Equal(table.Configuration, body))                                   // the table of others is untouched
+		is.True(answer.Table.Configuration == nil)                                        // it is sent only once
+		is.True(bytes.Equal(table.Configuration, body))                                   // the shared table is unchanged
 		is.NoErr(unpack(&answer, packed))
 		is.True(bytes.Equal(answer.Table.Configuration, body))
 	}
@@ -40,12 +40,12 @@
 	packed, err := shared.pack(&answer)
 	is.NoErr(err)
 	is.NoErr(unpack(&answer, packed))
-	is.True(bytes.Equal(answer.Table.Configuration, routes(500))) // another one is packed anew
+	is.True(bytes.Equal(answer.Table.Configuration, routes(500))) // another configuration is packed separately
 }
 
-func TestSmallOrMissingConfigurationsAreLeftAsTheyAre(t *testing.T) {
+func TestSmallOrMissingConfigurationsAreNotPacked(t *testing.T) {
 	is := is.New(t)
-	shared := &packing{}
+	shared := &packer{}
 	for _, table := range []*feed.Table{nil, {}, {Configuration: []byte("small")}} {
 		answer := feed.WatchAnswer{Table: table}
 		packed, err := shared.pack(&answer)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestServicesTravelPacked(t *testing.T) {
+func TestManyServicesArePacked(t *testing.T) {
 	is := is.New(t)
 	var services []feed.Service
 	for number := range 300 {
@@ -70,24 +70,24 @@
 		}
 		services = append(services, service)
 	}
-	shared := &packing{}
+	shared := &packer{}
 	var first []byte
 	for range 3 {
 		answer := feed.WatchAnswer{Table: &feed.Table{Services: services}}
 		packed, err := shared.pack(&answer)
 		is.NoErr(err)
 		is.True(answer.Table.Services == nil)
-		is.True(len(packed.Services) < 25*len(services)*3) // of some hundred bytes for each instance
+		is.True(len(packed.Services) < 25*len(services)*3) // each instance takes a few hundred bytes unpacked
 		if first == nil {
 			first = packed.Services
 		}
-		is.True(&first[0] == &packed.Services[0]) // packed once for all
+		is.True(&first[0] == &packed.Services[0]) // packed only once
 		is.NoErr(unpack(&answer, packed))
 		is.Equal(answer.Table.Services, services)
 	}
 }
 
-func TestBadPackingBreaksTheConnection(t *testing.T) {
+func TestInvalidPackedPartsAreBadFrames(t *testing.T) {
 	is := is.New(t)
 	tooLong, err := deflate(make([]byte, configuration.MaxBody+1))
 	is.NoErr(err)
--- a/control/rpc/peers.go
+++ b/control/rpc/peers.go
@@ -11,13 +11,13 @@
 	"eiderway/control/replication"
 )
 
-// PeersCounts counts what has become of messages to other controllers.
+// PeersCounts counts the messages to other controllers by what happened to them.
 type PeersCounts struct {
 	Sent        uint64 // written to a connection; whether they arrived is not known
 	Overflowed  uint64 // dropped because the queue of their address was full
-	Expired     uint64 // dropped because no connection came about in time
-	TooLong     uint64 // dropped because they don't fit a frame, or can't be encoded
-	Lost        uint64 // not sent, or not known to be, because a connection broke
+	Expired     uint64 // dropped because no connection could be made in time
+	TooLong     uint64 // dropped because they don't fit into a frame or can't be encoded
+	Lost        uint64 // not sent, or possibly not sent, because a connection broke
 	Connections uint64 // made
 	Failures    uint64 // attempts to connect that failed
 }
@@ -36,7 +36,7 @@
 	counts  PeersCounts
 }
 
-// NewPeers returns a sender of messages. Self is the address of this process, to which nothing is sent.
+// NewPeers returns a sender of messages to other controllers. Self is the address of this process, to which nothing is sent.
 func NewPeers(self string, routes Routes, log logrus.FieldLogger) *Peers {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Peers{self: self, routes: routes, log: log, ctx: ctx, stop: stop, senders: map[string]*sender{}}
@@ -52,7 +52,7 @@
 	if p.ctx.Err() != nil {
 		return
 	}
-	p.senderLocked(address).queueLocked(queued{message: message, since: time.Now()})
+	p.senderLocked(address).queueLocked(queuedMessage{message: message, since: time.Now()})
 }
 
 // Counts returns the counts up to now.
@@ -62,7 +62,7 @@
 	return p.counts
 }
 
-// Close drops what is queued and closes all connections.
+// Close drops all queued messages and closes all connections.
 func (p *Peers) Close() {
 	p.mutex.Lock()
 	p.stop()
@@ -88,22 +88,22 @@
 	change(&p.counts)
 }
 
-// dropExpired drops messages that have waited too long, and tells whether any are left.
+// dropExpired drops messages that have waited too long and reports whether any are left.
 func (p *Peers) dropExpired(from *sender) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	fresh := slices.IndexFunc(from.queue, func(waiting queued) bool { return now.Sub(waiting.since) <= messageLife })
+	fresh := slices.IndexFunc(from.queue, func(waiting queuedMessage) bool { return now.Sub(waiting.since) <= maxQueueTime })
 	if fresh < 0 {
 		fresh = len(from.queue)
 	}
 	p.counts.Expired += uint64(fresh)
-	from.queue = slices.Delete(from.queue, 0, fresh) // clears what is dropped
+	from.queue = slices.Delete(from.queue, 0, fresh) // also clears the dropped elements, so that they can be collected
 	return len(from.queue) > 0
 }
 
-// takeAll empties the queue of the sender.
-func (p *Peers) takeAll(from *sender) []queued {
+// takeAll empties the queue of the sender and returns what was in it.
+func (p *Peers) takeAll(from *sender) []queuedMessage {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	taken := from.queue
@@ -111,7 +111,7 @@
 	return taken
 }
 
-// retire forgets a sender that has nothing to do; false if something was queued meanwhile.
+// retire removes an idle sender; false if a message was queued meanwhile.
 func (p *Peers) retire(idle *sender) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/control/rpc/peers_test.go
+++ b/control/rpc/peers_test.go
@@ -20,7 +20,7 @@
 	return peers
 }
 
-// inbox gathers the numbers of the messages that a server is handed.
+// inbox collects the numbers of the messages that a server receives.
 type inbox chan uint64
 
 func (i inbox) handlers() Handlers {
@@ -33,7 +33,7 @@
 	case number := <-i:
 		return number
 	case <-time.After(patience):
-		t.Fatal("no message")
+		t.Fatal("no message arrived")
 		return 0
 	}
 }
@@ -49,11 +49,11 @@
 	for number := range uint64(queueLength) {
 		is.Equal(arrived.next(t), number)
 	}
-	eventually(t, "counted", func() bool { return peers.Counts().Sent == queueLength })
+	eventually(t, "counting of all messages", func() bool { return peers.Counts().Sent == queueLength })
 	is.Equal(peers.Counts(), PeersCounts{Sent: queueLength, Connections: 1})
 }
 
-func TestNothingIsSentToOneself(t *testing.T) {
+func TestNothingIsSentToSelf(t *testing.T) {
 	is := is.New(t)
 	peers := newPeers(t)
 	peers.Send("127.0.0.1:1", message(1))
@@ -61,7 +61,7 @@
 	is.Equal(len(peers.senders), 0)
 }
 
-func TestConnectionIsMadeAgain(t *testing.T) {
+func TestSenderReconnects(t *testing.T) {
 	is := is.New(t)
 	arrived := make(inbox, queueLength)
 	address := loopback.ReserveForTest(t).Address()
@@ -73,8 +73,8 @@
 	is.Equal(arrived.next(t), uint64(1))
 	first.Close()
 
-	eventually(t, "refused", func() bool {
-		peers.Send(address, message(2)) // for nobody; the first may still be written to the connection that ended
+	eventually(t, "a refused connection", func() bool {
+		peers.Send(address, message(2)) // nobody receives these; the first may still be written to the closed connection
 		return peers.Counts().Failures > 0
 	})
 	again, err := net.Listen("tcp4", address)
@@ -83,65 +83,65 @@
 	defer second.Close()
 	peers.Send(address, message(3))
 	for number := arrived.next(t); number != 3; number = arrived.next(t) {
-		is.Equal(number, uint64(2)) // may have waited
+		is.Equal(number, uint64(2)) // may have waited in the queue
 	}
 }
 
 func TestQueueIsBounded(t *testing.T) {
 	is := is.New(t)
-	closed := loopback.ReserveForTest(t).Address() // nobody listens there
+	unused := loopback.ReserveForTest(t).Address() // nobody listens on it
 	peers := newPeers(t)
 	const sent = 4 * queueLength
 	for number := range uint64(sent) {
-		peers.Send(closed, message(number))
+		peers.Send(unused, message(number))
 	}
-	is.True(peers.Counts().Overflowed >= sent-2*queueLength) // one queue may have been taken meanwhile
-	eventually(t, "dropped in the end", func() bool {
+	is.True(peers.Counts().Overflowed >= sent-2*queueLength) // the sender may have taken one full queue meanwhile
+	eventually(t, "dropping of all messages", func() bool {
 		counts := peers.Counts()
 		return counts.Overflowed+counts.Expired+counts.Lost == sent
 	})
 }
 
-// A peer that takes no bytes costs its own messages only, and its connection; Send goes on returning.
-func TestPeerThatDoesNotReadIsGivenUp(t *testing.T) {
+// A peer that doesn't read loses only its own messages and its connection; Send must not block.
+func TestPeerThatDoesNotReadIsDisconnected(t *testing.T) {
 	stalled := make(chan struct{})
-	address := script(t, func(connection *scripted) {
-		_ = connection.Conn.(*net.TCPConn).SetReadBuffer(readBuffer)
+	address := scriptedServer(t, func(connection *scriptedConn) {
+		_ = connection.Conn.(*net.TCPConn).SetReadBuffer(readBufferSize)
 		<-stalled
 	})
 	defer close(stalled)
 	arrived := make(inbox, queueLength)
-	_, sound := serve(t, arrived.handlers())
+	_, healthy := serve(t, arrived.handlers())
 	peers := newPeers(t)
 	large := replication.Message{Piece: &replication.Piece{Bytes: make([]byte, MaxFrame/2)}}
-	eventually(t, "given up", func() bool {
+	eventually(t, "loss of messages", func() bool {
 		peers.Send(address, large)
 		return peers.Counts().Lost > 0
 	})
-	peers.Send(sound, message(1))
+	peers.Send(healthy, message(1))
 	is.New(t).Equal(arrived.next(t), uint64(1))
 }
 
-func TestMessageThatIsTooLongDoesNotTakeOthersAlong(t *testing.T) {
+func TestTooLongMessageDoesNotAffectOthers(t *testing.T) {
 	is := is.New(t)
 	arrived := make(inbox, queueLength)
 	_, address := serve(t, arrived.handlers())
 	peers := newPeers(t)
-	peers.Send(address, tooLong()) // the first of its connection, with the descriptions of types
+	peers.Send(address, tooLongMessage()) // the first on its connection, with type descriptions
 	peers.Send(address, message(2))
-	peers.Send(address, tooLong())
+	peers.Send(address, tooLongMessage())
 	peers.Send(address, message(4))
 	is.Equal(arrived.next(t), uint64(2))
 	is.Equal(arrived.next(t), uint64(4))
 	is.Equal(peers.Counts().TooLong, uint64(2))
 }
 
-func TestIdleSenderIsForgottenOnlyWithAnEmptyQueue(t *testing.T) {
+func TestIdleSenderIsRemovedOnlyWithAnEmptyQueue(t *testing.T) {
 	is := is.New(t)
 	peers := newPeers(t)
 	idle := newSender(peers, "127.0.0.1:2")
 	peers.senders[idle.address] = idle
-	idle.queueLocked(queued{message: message(1), since: time.Now()})
+	idle.queueLocked(queuedMessage{message: message(1), since: time.Now()})
 	is.True(!peers.retire(idle))
 	peers.takeAll(idle)
 	is.True(peers.retire(idle))
--- a/control/rpc/question_test.go
+++ b/control/rpc/request_test.go
@@ -9,13 +9,14 @@
 	"eiderway/control/quota"
 )
 
-// BenchmarkOperationsQuestion is a gateway's question for an operation and its answer over loopback, with the work of both ends.
-func BenchmarkOperationsQuestion(b *testing.B) { benchmarkQuestion(b, false) }
+// BenchmarkOperationsRequest measures a gateway's request for an operation and its answer over loopback, including the work of
+// both sides.
+func BenchmarkOperationsRequest(b *testing.B) { benchmarkRequest(b, false) }
 
-// BenchmarkOperationsQuestionAlone is the same over a connection of its own.
-func BenchmarkOperationsQuestionAlone(b *testing.B) { benchmarkQuestion(b, true) }
+// BenchmarkOperationsRequestOnNewConnection measures the same with a new connection for each request.
+func BenchmarkOperationsRequestOnNewConnection(b *testing.B) { benchmarkRequest(b, true) }
 
-func benchmarkQuestion(b *testing.B, alone bool) {
+func benchmarkRequest(b *testing.B, reconnects bool) {
 	answer := feed.WatchAnswer{Operations: &quota.Answer{Grants: []quota.Grant{{Tenant: "bakers", Operations: 1, Life: time.Second}}}}
 	server := Serve(listen(b), Handlers{Watch: func(context.Context, feed.WatchRequest) (feed.WatchAnswer, bool) { return answer, true }})
 	defer server.Close()
@@ -31,7 +32,7 @@
 			b.Fatal(err)
 		}
 		stop()
-		if alone {
+		if reconnects {
 			client.Close()
 			client = &Client{}
 		}
--- a/control/rpc/sender.go
+++ b/control/rpc/sender.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	queueLength   = 256                    // messages for one address: some seconds of a busy primary's words
-	messageLife   = 2 * time.Second        // after which a message that waits for a connection says nothing worth sending
-	flushSize     = 64 << 10               // bytes gathered at most before they are written
-	firstBackoff  = 50 * time.Millisecond  // after the first failed attempt to connect, doubled with each
-	longestPause  = 500 * time.Millisecond // between attempts: a peer that is back hears of it within this
-	senderIdle    = 30 * time.Second       // without a message, after which the connection is closed
-	serverIdle    = 2 * senderIdle         // without a frame, after which the server's side gives a connection up
-	soundAfter    = time.Second            // a connection that lasted this long starts the backoff anew
-	closedCommand = 1                      // bytes: a server says nothing on a peer's connection, so any read ends with it
+	queueLength       = 256                    // messages for one address: a few seconds of a busy primary's traffic
+	maxQueueTime      = 2 * time.Second        // a message that has waited this long for a connection is outdated and dropped
+	flushSize         = 64 << 10               // number of buffered bytes from which they are written
+	minBackoff        = 50 * time.Millisecond  // after the first failed attempt to connect; doubles with each further one
+	maxBackoff        = 500 * time.Millisecond // between attempts, so a peer that has returned is reached within this time
+	senderIdleTimeout = 30 * time.Second       // a connection without messages for this long is closed
+	serverIdleTimeout = 2 * senderIdleTimeout  // a server closes a connection without frames for this long
+	stableAfter       = time.Second            // a connection that lasted this long resets the backoff
+	closeReadSize     = 1                      // bytes; a server sends nothing on a peer's connection, so a read returns only when it ends
 )
 
-type queued struct {
+type queuedMessage struct {
 	message replication.Message
 	since   time.Time
 }
@@ -30,24 +30,24 @@
 type sender struct {
 	peers   *Peers
 	address string
-	queue   []queued // guarded by peers.mutex
+	queue   []queuedMessage // guarded by peers.mutex
 	wake    chan struct{}
 
-	connection net.Conn
-	release    func() bool   // ends the watch for the end of peers
-	closed     chan struct{} // closed when the other side has closed the connection
-	encoder    *encoder
-	gathered   uint64    // messages in the encoder that are not written yet
-	since      time.Time // when the connection was made
-	backoff    time.Duration
+	connection   net.Conn
+	stopWatching func() bool   // stops the function that closes the connection when peers is closed
+	closed       chan struct{} // closed when the other side has closed the connection
+	encoder      *encoder
+	unflushed    uint64    // number of messages in the encoder that are not written yet
+	connectedAt  time.Time // when the connection was made
+	backoff      time.Duration
 }
 
 func newSender(peers *Peers, address string) *sender {
-	return &sender{peers: peers, address: address, wake: make(chan struct{}, 1), backoff: firstBackoff}
+	return &sender{peers: peers, address: address, wake: make(chan struct{}, 1), backoff: minBackoff}
 }
 
-// queueLocked drops the oldest message if there is no room: newer ones say more.
-func (s *sender) queueLocked(message queued) {
+// queueLocked queues the message. If the queue is full, it drops the oldest message: newer ones matter more.
+func (s *sender) queueLocked(message queuedMessage) {
 	if len(s.queue) >= queueLength {
 		s.queue = slices.Delete(s.queue, 0, 1)
 		s.peers.counts.Overflowed++
@@ -55,34 +55,34 @@
 	s.queue = append(s.queue, message)
 	select {
 	case s.wake <- struct{}{}:
-	default: // it will be woken anyway
+	default: // a wake-up is already pending
 	}
 }
 
 func (s *sender) run() {
 	defer s.peers.wait.Done()
 	defer s.disconnect()
-	idle := time.NewTimer(senderIdle)
+	idle := time.NewTimer(senderIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case <-s.peers.ctx.Done():
 			return
-		case <-s.closed: // nil, and so never, without a connection
+		case <-s.closed: // nil without a connection, and so never ready
 			s.disconnect()
 		case <-s.wake:
 			s.deliver()
-			idle.Reset(senderIdle)
+			idle.Reset(senderIdleTimeout)
 		case <-idle.C:
 			if s.peers.retire(s) {
 				return
 			}
-			idle.Reset(senderIdle)
+			idle.Reset(senderIdleTimeout)
 		}
 	}
 }
 
-// deliver sends what is queued, connecting first where needed.
+// deliver sends the queued messages, and connects first if necessary.
 func (s *sender) deliver() {
 	if s.hasEnded() {
 		s.disconnect()
@@ -91,18 +91,18 @@
 		return
 	}
 	if s.connection == nil && !s.connect() {
-		s.pause()
+		s.backOff()
 		return
 	}
 	s.deliverAll(s.peers.takeAll(s))
 }
 
-// deliverAll goes on over a new connection if one breaks.
-func (s *sender) deliverAll(messages []queued) {
+// deliverAll sends the messages, and makes a new connection whenever one breaks.
+func (s *sender) deliverAll(messages []queuedMessage) {
 	for len(messages) > 0 {
 		if s.connection == nil && !s.connect() {
 			s.countLost(len(messages))
-			s.pause()
+			s.backOff()
 			return
 		}
 		messages = s.write(messages)
@@ -119,7 +119,7 @@
 }
 
 func (s *sender) connect() bool {
-	connection, err := dial(s.peers.ctx, s.peers.routes.of(s.address))
+	connection, err := dial(s.peers.ctx, s.peers.routes.resolve(s.address))
 	if err != nil {
 		s.peers.count(func(counts *PeersCounts) { counts.Failures++ })
 		return false
@@ -128,17 +128,18 @@
 	s.connection = connection
 	s.closed = make(chan struct{})
 	s.encoder = newEncoder(kindPeer)
-	s.since = time.Now()
+	s.connectedAt = time.Now()
 	s.peers.wait.Add(1)
-	go s.noticeEnd(connection, s.closed)
-	s.release = context.AfterFunc(s.peers.ctx, func() { _ = connection.Close() })
+	go s.watchForClose(connection, s.closed)
+	s.stopWatching = context.AfterFunc(s.peers.ctx, func() { _ = connection.Close() })
 	return true
 }
 
-// noticeEnd learns at once when the other side closes, so that the next message isn't written to a dead connection.
-func (s *sender) noticeEnd(connection net.Conn, closed chan<- struct{}) {
+// watchForClose closes the channel as soon as the other side closes the connection, so that the next message isn't written to
+// a dead connection.
+func (s *sender) watchForClose(connection net.Conn, closed chan<- struct{}) {
 	defer s.peers.wait.Done()
-	_, _ = connection.Read(make([]byte, closedCommand))
+	_, _ = connection.Read(make([]byte, closeReadSize))
 	close(closed)
 }
 
@@ -146,19 +147,19 @@
 	if s.connection == nil {
 		return
 	}
-	s.release()
+	s.stopWatching()
 	_ = s.connection.Close()
-	if time.Since(s.since) > soundAfter {
-		s.backoff = firstBackoff
+	if time.Since(s.connectedAt) > stableAfter {
+		s.backoff = minBackoff
 	}
 	s.connection, s.closed, s.encoder = nil, nil, nil
 }
 
-// pause waits before the next attempt to connect. What is queued stays queued, and wakes the sender again.
-func (s *sender) pause() {
+// backOff waits before the next attempt to connect. Queued messages stay queued, and the sender is woken again for them.
+func (s *sender) backOff() {
 	timer := time.NewTimer(s.backoff)
 	defer timer.Stop()
-	s.backoff = min(2*s.backoff, longestPause)
+	s.backoff = min(2*s.backoff, maxBackoff)
 	select {
 	case <-timer.C:
 	case <-s.peers.ctx.Done():
@@ -169,25 +170,26 @@
 	}
 }
 
-// write sends messages until the connection breaks, and returns those that were not touched.
-func (s *sender) write(messages []queued) []queued {
-	for at, waiting := range messages {
-		if !s.gather(waiting.message) {
-			return messages[at+1:]
+// write sends messages until the connection breaks, and returns those that were not yet processed.
+func (s *sender) write(messages []queuedMessage) []queuedMessage {
+	for index, queued := range messages {
+		if !s.encode(queued.message) {
+			return messages[index+1:]
 		}
 		if s.encoder.size() >= flushSize && !s.flush() {
-			return messages[at+1:]
+			return messages[index+1:]
 		}
 	}
 	s.flush()
 	return nil
 }
 
-// gather encodes the message. One that can't be sent is dropped, together with the connection whose encoder it spoilt.
-func (s *sender) gather(message replication.Message) bool {
+// encode adds the message to the encoder. If it can't be sent, it is dropped, and the connection is closed because its encoder
+// can't be used any more.
+func (s *sender) encode(message replication.Message) bool {
 	err := s.encoder.add(peerFrame{Message: message})
 	if err == nil {
-		s.gathered++
+		s.unflushed++
 		return true
 	}
 	s.peers.count(func(counts *PeersCounts) { counts.TooLong++ })
@@ -199,14 +201,14 @@
 }
 
 func (s *sender) flush() bool {
-	gathered := s.gathered
-	s.gathered = 0
+	messages := s.unflushed
+	s.unflushed = 0
 	if err := s.encoder.flush(s.connection, time.Time{}); err != nil {
-		s.countLost(int(gathered))
+		s.countLost(int(messages))
 		s.disconnect()
 		return false
 	}
-	s.peers.count(func(counts *PeersCounts) { counts.Sent += gathered })
+	s.peers.count(func(counts *PeersCounts) { counts.Sent += messages })
 	return true
 }
 
--- a/control/rpc/server.go
+++ b/control/rpc/server.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	maxConnections  = 3600             // what a process's descriptors leave beside its other sockets and files
-	maxOpen         = 4                // questions on one connection: a gateway has one, and another when it leaves
-	greetingTimeout = 2 * time.Second  // a slowed caller needs longer than a healthy one, not this long
-	foreignLogEvery = time.Minute      // lines about callers that don't speak the protocol
-	acceptPause     = time.Second / 10 // after a failure to accept, such as for want of descriptors
+	maxConnections     = 3600             // what the process's limit of descriptors leaves beside its other sockets and files
+	maxOpenRequests    = 4                // requests on one connection: a gateway has one open, and a second one when it leaves
+	greetingTimeout    = 2 * time.Second  // a slowed caller needs longer than a healthy one, but less than this
+	foreignLogInterval = time.Minute      // between log lines about callers that don't speak the protocol
+	acceptPause        = time.Second / 10 // after a failure to accept, for example because there are no descriptors left
 )
 
-// Handlers take what callers send. They are called from many goroutines.
+// Handlers process what callers send. They are called from many goroutines.
 type Handlers struct {
-	// Message takes a controller's message. It must not block: the messages of that controller wait behind it.
+	// Message processes a controller's message. It must not block, because it delays further messages from that controller.
 	Message func(replication.Message)
-	// Watch answers a gateway's question. The context ends when the connection does. False: there is no answer, and the
-	// connection is closed, so that the gateway asks elsewhere at once.
+	// Watch answers a gateway's request. The context ends when the connection does. If it returns false, there is no answer
+	// and the connection is closed, so that the gateway watchRequest another controller at once.
 	Watch func(ctx context.Context, request feed.WatchRequest) (feed.WatchAnswer, bool)
-	// Log gets a line about callers that don't speak the protocol, once a minute at most. Nil: no lines.
+	// Log receives a line about callers that don't speak the protocol, at most once a minute. It may be nil.
 	Log logrus.FieldLogger
 }
 
-// ServerCounts counts what happened on a server's connections.
+// ServerCounts counts events on a server's connections.
 type ServerCounts struct {
 	Open    int    // connections
 	Refused uint64 // connections closed at once because there were too many
-	Foreign uint64 // connections closed because of a greeting that isn't ours, or none in time
-	Broken  uint64 // connections closed because of bytes that make no frame, or of too many questions
+	Foreign uint64 // connections closed because the greeting was invalid or late
+	Broken  uint64 // connections closed because of bytes that are not a valid frame, or of too many requests
 }
 
-// Server takes connections of other controllers and of gateways.
+// Server accepts connections from other controllers and from gateways.
 type Server struct {
 	listener net.Listener
 	handlers Handlers
-	packing  packing
+	packer   packer
 	ctx      context.Context
 	stop     context.CancelFunc
 	wait     sync.WaitGroup
 
-	mutex       sync.Mutex
-	connections map[net.Conn]struct{}
-	counts      ServerCounts
-	logged      time.Time // when a line about foreign callers was written last
+	mutex          sync.Mutex
+	connections    map[net.Conn]struct{}
+	counts         ServerCounts
+	lastForeignLog time.Time // when a line about foreign callers was last written
 }
 
-// Serve takes connections from the listener until Close.
+// Serve accepts connections from the listener until Close.
 func Serve(listener net.Listener, handlers Handlers) *Server {
 	ctx, stop := context.WithCancel(context.Background())
 	server := &Server{listener: listener, handlers: handlers, ctx: ctx, stop: stop, connections: map[net.Conn]struct{}{}}
@@ -96,7 +96,7 @@
 			s.pauseAccepting()
 			continue
 		}
-		s.take(connection)
+		s.handle(connection)
 	}
 }
 
@@ -107,21 +107,21 @@
 	}
 }
 
-func (s *Server) take(connection net.Conn) {
-	if !s.add(connection) {
+func (s *Server) handle(connection net.Conn) {
+	if !s.register(connection) {
 		_ = connection.Close()
 		return
 	}
-	bound(connection)
+	limitUnacked(connection)
 	s.wait.Add(1)
 	go func() {
 		defer s.wait.Done()
-		defer s.remove(connection)
+		defer s.unregister(connection)
 		s.serve(connection)
 	}()
 }
 
-func (s *Server) add(connection net.Conn) bool {
+func (s *Server) register(connection net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.ctx.Err() != nil {
@@ -135,7 +135,7 @@
 	return true
 }
 
-func (s *Server) remove(connection net.Conn) {
+func (s *Server) unregister(connection net.Conn) {
 	_ = connection.Close()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -145,19 +145,19 @@
 func (s *Server) serve(connection net.Conn) {
 	source := newDecoder(connection)
 	_ = connection.SetReadDeadline(time.Now().Add(greetingTimeout))
-	kind, err := source.greeting()
+	kind, err := source.readGreeting()
 	if err != nil {
-		s.noteForeign(connection, err)
+		s.countForeign(connection, err)
 		return
 	}
 	if kind == kindPeer {
-		s.serveMessages(connection, source)
+		s.servePeer(connection, source)
 		return
 	}
-	serveQuestions(s, connection, source)
+	serveGateway(s, connection, source)
 }
 
-func (s *Server) serveMessages(connection net.Conn, source *decoder) {
+func (s *Server) servePeer(connection net.Conn, source *decoder) {
 	for s.ctx.Err() == nil {
 		var frame peerFrame
 		if !s.read(connection, source, &frame) {
@@ -169,31 +169,31 @@
 
 // read reads one frame into the target; false at the end of the connection.
 func (s *Server) read(connection net.Conn, source *decoder, target any) bool {
-	_ = connection.SetReadDeadline(time.Now().Add(serverIdle))
-	err := source.value(target)
+	_ = connection.SetReadDeadline(time.Now().Add(serverIdleTimeout))
+	err := source.readValue(target)
 	if isBroken(err) {
-		s.noteBroken()
+		s.countBroken()
 	}
 	return err == nil
 }
 
-func (s *Server) noteBroken() {
+func (s *Server) countBroken() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.counts.Broken++
 }
 
-// noteForeign counts a caller that doesn't speak the protocol, and tells of it now and then.
-func (s *Server) noteForeign(connection net.Conn, cause error) {
+// countForeign counts a caller that doesn't speak the protocol, and logs it if the last such line is long enough ago.
+func (s *Server) countForeign(connection net.Conn, cause error) {
 	if s.ctx.Err() != nil {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.counts.Foreign++
-	if s.handlers.Log == nil || (!s.logged.IsZero() && time.Since(s.logged) < foreignLogEvery) {
+	if s.handlers.Log == nil || (!s.lastForeignLog.IsZero() && time.Since(s.lastForeignLog) < foreignLogInterval) {
 		return
 	}
-	s.logged = time.Now()
+	s.lastForeignLog = time.Now()
 	s.handlers.Log.Warnf("%d callers did not speak our protocol; the last from %s: %v", s.counts.Foreign, connection.RemoteAddr(), cause)
 }
--- a/control/rpc/support_test.go
+++ b/control/rpc/support_test.go
@@ -12,7 +12,7 @@
 	"eiderway/control/replication"
 )
 
-// patience bounds waits for what must come about; no test waits this long unless it fails.
+// patience is the longest wait for an event that must happen; no test waits this long unless it fails.
 const patience = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -42,15 +42,15 @@
 	return client
 }
 
-func patient(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), patience)
 	t.Cleanup(stop)
 	return ctx
 }
 
-// script is a server that does what a test wants with each connection.
-func script(t *testing.T, play func(connection *scripted)) string {
+// scriptedServer runs a server that calls play for each connection, and returns its address.
+func scriptedServer(t *testing.T, play func(connection *scriptedConn)) string {
 	t.Helper()
 	listener := listen(t)
 	ended := make(chan struct{})
@@ -72,53 +72,53 @@
 	return listener.Addr().String()
 }
 
-// scripted is the server's side of a connection that plays a script.
-type scripted struct {
+// scriptedConn is the server's side of a connection to a scriptedServer.
+type scriptedConn struct {
 	net.Conn
-	number int // of the connection, from 1 on
+	number int // of the connection, starting at 1
 	source *decoder
 	out    *encoder
 }
 
-func newScripted(connection net.Conn, number int) *scripted {
+func newScripted(connection net.Conn, number int) *scriptedConn {
 	_ = connection.SetDeadline(time.Now().Add(patience))
-	return &scripted{Conn: connection, number: number, source: newDecoder(connection), out: newEncoder("")}
+	return &scriptedConn{Conn: connection, number: number, source: newDecoder(connection), out: newEncoder("")}
 }
 
-// question reads the greeting, where it is still to come, and a question; false at the end of the connection.
-func (s *scripted) question(greeted bool) (questionFrame, bool) {
-	var frame questionFrame
+// request reads a request, and before it the greeting unless greeted; false at the end of the connection.
+func (s *scriptedConn) request(greeted bool) (requestFrame, bool) {
+	var frame requestFrame
 	if !greeted {
-		if _, err := s.source.greeting(); err != nil {
+		if _, err := s.source.readGreeting(); err != nil {
 			return frame, false
 		}
 	}
-	return frame, s.source.value(&frame) == nil
+	return frame, s.source.readValue(&frame) == nil
 }
 
-func (s *scripted) answer(id uint64, name string) {
+func (s *scriptedConn) answer(id uint64, name string) {
 	if err := s.out.add(answerFrame{ID: id, Answer: answerFor(name)}); err == nil {
 		_ = s.out.flush(s.Conn, time.Time{})
 	}
 }
 
-// reset ends the connection as a process does that is killed with unread bytes.
-func (s *scripted) reset() {
+// reset ends the connection like a process that is killed with unread bytes.
+func (s *scriptedConn) reset() {
 	_ = s.Conn.(*net.TCPConn).SetLinger(0)
 	_ = s.Close()
 }
 
 // waitForEnd reads until the other side has closed.
-func (s *scripted) waitForEnd() {
-	var frame questionFrame
-	for s.source.value(&frame) == nil {
+func (s *scriptedConn) waitForEnd() {
+	var frame requestFrame
+	for s.source.readValue(&frame) == nil {
 		continue
 	}
 }
 
-func asks(name string) feed.WatchRequest { return feed.WatchRequest{Gateway: name} }
+func watchRequest(name string) feed.WatchRequest { return feed.WatchRequest{Gateway: name} }
 
-// answerFor makes an answer by which its question is known.
+// answerFor returns an answer that carries the name of its request.
 func answerFor(name string) feed.WatchAnswer {
 	answer := feed.WatchAnswer{Lease: time.Second}
 	answer.Primary.Name = name
@@ -138,7 +138,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %v", what, patience)
+			t.Fatalf("%s did not happen within %v", what, patience)
 		}
 	}
 }
