--- a/control/rpc/client.go
+++ b/control/rpc/client.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return feed.WatchAnswer{}, &UnreachableError{Address: address, Cause: err}
 	}
-	return conn.ask(ctx, request)
+	return conn.roundTrip(ctx, request)
 }
 
 // Counts returns the counts up to now.
--- a/control/rpc/client_test.go
+++ b/control/rpc/client_test.go
@@ -37,11 +37,11 @@
 
 func TestConcurrentRequestsGetTheirOwnAnswers(t *testing.T) {
 	is := is.New(t)
-	bothAsked := make(chan struct{})
+	firstReceived := make(chan struct{})
 	secondAnswered := make(chan struct{})
 	_, address := serve(t, Handlers{Watch: func(ctx context.Context, request feed.WatchRequest) (feed.WatchAnswer, bool) {
 		if request.Gateway == "first" {
-			close(bothAsked)
+			close(firstReceived)
 			<-secondAnswered // so the answers arrive in the opposite order
 		}
 		return echo(ctx, request)
@@ -53,7 +53,7 @@
 		is.NoErr(err)
 		is.Equal(answer, answerFor("first"))
 	})
-	<-bothAsked
+	<-firstReceived
 	answer, err := client.Watch(testContext(t), address, watchRequest("second"))
 	close(secondAnswered)
 	wait.Wait()
@@ -83,11 +83,11 @@
 // the answer to a later request.
 func TestConnectionIsNotReusedAfterARequestWithoutAnswer(t *testing.T) {
 	is := is.New(t)
-	asked := make(chan struct{})
+	received := make(chan struct{})
 	address := scriptedServer(t, func(connection *scriptedConn) {
 		request, _ := connection.request(false)
 		if connection.number == 1 {
-			close(asked)
+			close(received)
 			connection.waitForEnd()
 			connection.answer(request.ID, "late")
 			return
@@ -98,7 +98,7 @@
 	client := newClient(t)
 	ctx, giveUp := context.WithCancel(testContext(t))
 	go func() {
-		<-asked
+		<-received
 		giveUp()
 	}()
 	_, err := client.Watch(ctx, address, watchRequest("first"))
@@ -173,15 +173,15 @@
 
 func TestClosingTheClientEndsItsRequests(t *testing.T) {
 	is := is.New(t)
-	asked := make(chan struct{})
+	received := make(chan struct{})
 	address := scriptedServer(t, func(connection *scriptedConn) {
 		_, _ = connection.request(false)
-		close(asked)
+		close(received)
 		connection.waitForEnd()
 	})
 	client := newClient(t)
 	go func() {
-		<-asked
+		<-received
 		client.Close()
 	}()
 	_, err := client.Watch(testContext(t), address, watchRequest("x"))
--- a/control/rpc/clientconnection.go
+++ b/control/rpc/clientconnection.go
@@ -37,7 +37,8 @@
 	}
 }
 
-func (c *clientConn) ask(ctx context.Context, request feed.WatchRequest) (feed.WatchAnswer, error) {
+// roundTrip sends the request and waits for its answer until the context ends, which also closes the connection.
+func (c *clientConn) roundTrip(ctx context.Context, request feed.WatchRequest) (feed.WatchAnswer, error) {
 	if ctx.Err() != nil {
 		return feed.WatchAnswer{}, &UnreachableError{Address: c.address, Cause: ctx.Err()}
 	}
--- a/control/rpc/sender.go
+++ b/control/rpc/sender.go
@@ -84,7 +84,7 @@
 
 // deliver sends the queued messages, and connects first if necessary.
 func (s *sender) deliver() {
-	if s.hasEnded() {
+	if s.isClosed() {
 		s.disconnect()
 	}
 	if !s.peers.dropExpired(s) {
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *sender) hasEnded() bool {
+func (s *sender) isClosed() bool {
 	select {
 	case <-s.closed:
 		return true
--- a/control/rpc/server_test.go
+++ b/control/rpc/server_test.go
@@ -82,14 +82,14 @@
 
 func TestContextOfARequestEndsWithItsConnection(t *testing.T) {
 	is := is.New(t)
-	asked, ended := make(chan struct{}), make(chan struct{})
+	received, ended := make(chan struct{}), make(chan struct{})
 	server, address := serve(t, Handlers{Watch: func(ctx context.Context, request feed.WatchRequest) (feed.WatchAnswer, bool) {
-		close(asked)
+		close(received)
 		defer close(ended)
 		return waitForConnectionEnd(ctx, request)
 	}})
 	connection := call(t, address, encodeFrames(t, kindGateway, requestFrame{ID: 1}))
-	<-asked
+	<-received
 	is.NoErr(connection.Close())
 	select {
 	case <-ended:
@@ -110,15 +110,15 @@
 
 func TestClosingTheServerEndsConnectionsAndHandlers(t *testing.T) {
 	is := is.New(t)
-	asked := make(chan struct{})
+	received := make(chan struct{})
 	server, address := serve(t, Handlers{Watch: func(ctx context.Context, request feed.WatchRequest) (feed.WatchAnswer, bool) {
-		close(asked)
+		close(received)
 		return waitForConnectionEnd(ctx, request)
 	}})
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		<-asked
+		<-received
 		server.Close()
 	}()
 	_, err := newClient(t).Watch(testContext(t), address, watchRequest("x"))
--- a/session/outcome.go
+++ b/session/outcome.go
@@ -24,7 +24,7 @@
 	Answer wire.Answer // with Answered
 	Reason string      // of NotRun, for the client
 	Intact bool        // of NotRun: the connection still works and its state is unchanged
-	Stale  bool        // the gateway's lease on the leader ended between the sending of the statement and the answer
+	Stale  bool        // the gateway's right to use the leader ended before the answer arrived
 }
 
 // BackendAction says what to do with the backend connection.
--- a/session/prepared.go
+++ b/session/prepared.go
@@ -7,7 +7,7 @@
 	"eiderway/wire"
 )
 
-// Prepared is what a prepared name stands for.
+// Prepared is a prepared statement: the kind and shape that a prepared name refers to.
 type Prepared struct {
 	Kind  wire.Verb // wire.Fetch or wire.Put
 	Shape string
--- a/session/scenario_test.go
+++ b/session/scenario_test.go
@@ -18,7 +18,7 @@
 //	run CLASS [first] TEXT  HandleQuery wants a statement run; TEXT is what is sent
 //	step TEXT               a setup step that must run before the statement, in this order
 //	answered ANSWER         the instance's answer: ROW and COMPLETE or ERROR, then "/ STATE POSITION"
-//	stale ANSWER            the same, but the lease on the leader ended before the answer
+//	stale ANSWER            the same, but the right to use the leader ended before the answer
 //	lost | timedout | notrun | intact   other outcomes
 //	= ANSWER                the answer to the client
 //	fate keep|free|rollback|close   what to do with the backend connection
@@ -36,7 +36,7 @@
 
 type scenarioPlayer struct {
 	*testing.T
-	place      string
+	location   string
 	session    *Session
 	backends   map[string]*Backend
 	backend    *Backend
@@ -52,21 +52,21 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	play := &scenarioPlayer{T: t, session: New(), backends: map[string]*Backend{}, pending: map[string]bool{}}
+	player := &scenarioPlayer{T: t, session: New(), backends: map[string]*Backend{}, pending: map[string]bool{}}
 	lines := bufio.NewScanner(file)
 	for number := 1; lines.Scan(); number++ {
 		line := strings.TrimRight(lines.Text(), "\n")
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		play.place = path + ":" + strconv.Itoa(number) + ": " + line
+		player.location = path + ":" + strconv.Itoa(number) + ": " + line
 		word, fields, _ := strings.Cut(line, " ")
-		play.line(word, fields)
+		player.runLine(word, fields)
 	}
-	play.checkNothingPending()
+	player.checkNothingPending()
 }
 
-func (p *scenarioPlayer) line(word, fields string) {
+func (p *scenarioPlayer) runLine(word, fields string) {
 	p.Helper()
 	switch word {
 	case "backend":
@@ -104,14 +104,14 @@
 		p.session.HandleRollback()
 		p.backend.EndTransaction(true)
 	default:
-		p.Fatalf("%s: unknown word", p.place)
+		p.Fatalf("%s: unknown word", p.location)
 	}
 }
 
 func (p *scenarioPlayer) expectPending(what string) {
 	p.Helper()
 	if !p.pending[what] {
-		p.Fatalf("%s: unexpected check of %s", p.place, what)
+		p.Fatalf("%s: unexpected check of %s", p.location, what)
 	}
 	delete(p.pending, what)
 }
@@ -119,10 +119,10 @@
 func (p *scenarioPlayer) checkNothingPending() {
 	p.Helper()
 	for what := range p.pending {
-		p.Fatalf("%s: the scenario did not check the previous %s", p.place, what)
+		p.Fatalf("%s: the scenario did not check the previous %s", p.location, what)
 	}
 	if len(p.steps) > 0 {
-		p.Fatalf("%s: the scenario did not check the previous step %q", p.place, p.steps[0].Text)
+		p.Fatalf("%s: the scenario did not check the previous step %q", p.location, p.steps[0].Text)
 	}
 }
 
@@ -160,14 +160,14 @@
 	}
 	got += p.decision.Statement.BackendText()
 	if got != want {
-		p.Fatalf("%s: got run %s", p.place, got)
+		p.Fatalf("%s: got run %s", p.location, got)
 	}
 }
 
 func (p *scenarioPlayer) checkStep(want string) {
 	p.Helper()
 	if len(p.steps) == 0 || p.steps[0].Text != want {
-		p.Fatalf("%s: got steps %+v", p.place, p.steps)
+		p.Fatalf("%s: got steps %+v", p.location, p.steps)
 	}
 	p.backend.RecordStep(p.steps[0], p.session.HasOpenTransaction())
 	p.steps = p.steps[1:]
@@ -178,12 +178,12 @@
 	p.Helper()
 	body, ready, found := strings.Cut(text, " / ")
 	if !found {
-		p.Fatalf("%s: the answer has no state", p.place)
+		p.Fatalf("%s: the answer has no state", p.location)
 	}
 	message := strings.ReplaceAll(body, "; ", "\r\n") + "\r\nREADY " + ready + "\r\n"
 	answer, err := wire.NewReader(strings.NewReader(message)).ReadAnswer()
 	if err != nil {
-		p.Fatalf("%s: %v", p.place, err)
+		p.Fatalf("%s: %v", p.location, err)
 	}
 	return answer
 }
@@ -191,12 +191,12 @@
 func (p *scenarioPlayer) finish(outcome Outcome) {
 	p.Helper()
 	if len(p.steps) > 0 && outcome.Kind != NotRun {
-		p.Fatalf("%s: the step %q was not run", p.place, p.steps[0].Text)
+		p.Fatalf("%s: the step %q was not run", p.location, p.steps[0].Text)
 	}
 	p.steps = nil
 	p.resolution = p.session.HandleOutcome(p.decision.Statement, outcome)
 	if p.resolution.Answer.State != p.session.State() {
-		p.Fatalf("%s: the client is told state %c, but the session is in %c", p.place, p.resolution.Answer.State, p.session.State())
+		p.Fatalf("%s: the client is told state %c, but the session is in %c", p.location, p.resolution.Answer.State, p.session.State())
 	}
 	switch p.resolution.Action {
 	case FreeBackend:
@@ -214,7 +214,7 @@
 	body, ready, _ := strings.Cut(got, "\r\nREADY ")
 	got = strings.ReplaceAll(body, "\r\n", "; ") + " / " + ready
 	if got != want {
-		p.Fatalf("%s: got answer %s", p.place, got)
+		p.Fatalf("%s: got answer %s", p.location, got)
 	}
 }
 
@@ -223,6 +223,6 @@
 func (p *scenarioPlayer) checkBackendAction(want string) {
 	p.Helper()
 	if got := backendActionNames[p.resolution.Action]; got != want {
-		p.Fatalf("%s: got fate %s", p.place, got)
+		p.Fatalf("%s: got fate %s", p.location, got)
 	}
 }
--- a/session/session.go
+++ b/session/session.go
@@ -48,7 +48,7 @@
 type Statement struct {
 	Class    Class
 	Text     string    // as the client sent it
-	Prepared *Prepared // of EXECUTE: what its name stands for
+	Prepared *Prepared // of EXECUTE: the prepared statement that it runs
 
 	ReadOnly bool // neither it nor the transaction that it begins writes anything, so a replica may run it
 }
