--- a/control/controller/calls_test.go
+++ b/control/controller/calls_test.go
@@ -141,7 +141,7 @@
 }
 
 // noteInForce records a configuration that was fetched or reached a gateway: it counts as acknowledged.
-func (d *deployment) noteInForce(order configuration.Order) {
+func (d *deployment) noteInForce(order configuration.Document) {
 	content := order.Contents.Routes[0].Host
 	if acknowledged, found := d.acknowledged.contents[order.Number]; found && acknowledged != content {
 		d.fail("number %d is in force with %s and was acknowledged with %s", order.Number, content, acknowledged)
