--- a/control/state/address.go
+++ b/control/state/address.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// addressRecord names the present instances at an address, so that they are found without reading all. Instances without
-// an address have none.
+// addressRecord indexes the present instances by address, so that they are found without reading all of them. Instances without
+// an address are not indexed.
 type addressRecord struct {
 	Address     string
 	InstanceIDs []string // sorted; never empty
@@ -22,7 +22,7 @@
 	return instances
 }
 
-// presentAddress is where an instance is, "" if it has left.
+// presentAddress returns the address of a present instance, and "" for a departed one.
 func (r instanceRecord) presentAddress() string {
 	if r.Left {
 		return ""
@@ -30,8 +30,8 @@
 	return r.Address
 }
 
-// moveAddress has the index follow a record that takes the place of another one of the same instance.
-func (t *Transaction) moveAddress(id string, before, after instanceRecord) {
+// updateAddressIndex updates the index for an instance whose record is replaced.
+func (t *Transaction) updateAddressIndex(id string, before, after instanceRecord) {
 	from, to := before.presentAddress(), after.presentAddress()
 	if from != to {
 		t.removeFromAddress(from, id)
@@ -66,23 +66,23 @@
 	t.set(addressKey(address), encode(addressRecord{Address: address, InstanceIDs: ids}))
 }
 
-// verifyAddresses checks that the index names all present instances with an address, and no others.
+// verifyAddresses checks that the index holds exactly the present instances that have an address.
 func verifyAddresses(reader Reader) *Corruption {
-	named := 0
+	indexed := 0
 	for _, record := range readAll[addressRecord](reader, addressPrefix) {
 		if len(record.InstanceIDs) == 0 || len(InstancesAt(reader, record.Address)) != len(record.InstanceIDs) ||
 			!slices.IsSorted(record.InstanceIDs) {
-			return &Corruption{Key: addressKey(record.Address), Problem: "it does not name the instances at the address"}
+			return &Corruption{Key: addressKey(record.Address), Problem: "the index entry does not match the instances at the address"}
 		}
-		named += len(record.InstanceIDs)
+		indexed += len(record.InstanceIDs)
 	}
 	for _, instance := range PresentInstances(reader) {
 		if instance.Address != "" {
-			named--
+			indexed--
 		}
 	}
-	if named != 0 {
-		return &Corruption{Key: addressPrefix, Problem: "the index does not name each present instance once"}
+	if indexed != 0 {
+		return &Corruption{Key: addressPrefix, Problem: "the index does not hold each present instance once"}
 	}
 	return nil
 }
--- a/control/state/cost_test.go
+++ b/control/state/cost_test.go
@@ -10,7 +10,7 @@
 	"eiderway/control/state/statetest"
 )
 
-// grownState has instances in services of three, and many that left.
+// grownState returns a state with present and departed instances, three to a service.
 func grownState(present, departed int) *statetest.Memory {
 	memory := statetest.NewMemory()
 	transaction := state.NewTransaction(memory)
@@ -36,7 +36,7 @@
 	}
 }
 
-// manyRoutes is a configuration's body as operators send them.
+// manyRoutes returns the body of a configuration with many routes, as operators send it.
 func manyRoutes(number int64, routes int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"configRevision":%d,"routeTable":[`, number)
@@ -52,7 +52,7 @@
 	return text.String()
 }
 
-// BenchmarkPlaceOrder is a change of one number in a configuration of a thousand routes.
+// BenchmarkPlaceOrder replaces a configuration of a thousand routes by one that differs in one number.
 func BenchmarkPlaceOrder(b *testing.B) {
 	memory := statetest.NewMemory()
 	place(memory, orderOf(1, manyRoutes(1, 1000)))
--- a/control/state/giveup.go
+++ b/control/state/giveup.go
@@ -5,38 +5,38 @@
 	"eiderway/control/feed"
 )
 
-// GiveUp is the record of what an operator has given up: the commits that the last copies of a service may have held.
+// GiveUp records that an operator gave up the acknowledged commits that lost copies of a service may have held.
 type GiveUp struct {
 	Service   string
-	By        string            // who asked for it
-	At        string            // when, by the clock of the controller that was asked
-	Instances []string          // whose copies were given up, sorted
-	Floor     failover.Position // that the departed ones had covered
-	Leader    feed.Leader       // as recorded until then
-	Count     uint64            // of the service: how often something was given up
+	By        string            // who requested it
+	At        string            // when, by the clock of the controller that received the request
+	Instances []string          // whose copies were given up: silent ones, then departed ones
+	Floor     failover.Position // of the departed instances, before it was dropped
+	Leader    feed.Leader       // recorded until then
+	Count     uint64            // of give-ups of the service
 }
 
-// mostGivenUpInstances bounds what a record names.
-const mostGivenUpInstances = 32
+// maxGivenUpInstances bounds the instances that a record lists.
+const maxGivenUpInstances = 32
 
-// GiveUpService records that what the lost copies of a service may have held is given up: no departed instance, no floor and no recorded
-// leader stands against the choice of another one any more. The silent instances named are taken for lost.
+// GiveUpService records that the commits which lost copies of a service may have held are given up: departed instances, the floor
+// and the recorded leader no longer prevent the choice of another leader. The given silent instances are marked as lost.
 func (t *Transaction) GiveUpService(given GiveUp, silent []string) {
 	before, _ := read[GiveUp](t, giveUpKey(given.Service))
 	given.Count = before.Count + 1
-	given.Floor = floorOf(t, given.Service)
+	given.Floor = readFloor(t, given.Service)
 	leader, _ := read[leaderRecord](t, leaderKey(given.Service))
 	given.Leader = leader.Leader
 	for _, id := range silent {
-		t.loseForGood(id)
+		t.markLost(id)
 		given.Instances = append(given.Instances, id)
 	}
 	for _, departed := range UncoveredDepartures(t)[given.Service] {
-		t.forgetWhatItHeld(departed.ID)
+		t.clearUncovered(departed.ID)
 		given.Instances = append(given.Instances, departed.ID)
 	}
-	if len(given.Instances) > mostGivenUpInstances {
-		given.Instances = given.Instances[:mostGivenUpInstances]
+	if len(given.Instances) > maxGivenUpInstances {
+		given.Instances = given.Instances[:maxGivenUpInstances]
 	}
 	t.drop(floorKey(given.Service))
 	t.drop(leaderKey(given.Service))
@@ -44,8 +44,9 @@
 	t.set(giveUpKey(given.Service), encode(given))
 }
 
-func (t *Transaction) loseForGood(id string) {
-	record, found := recordOf(t, id)
+// markLost records a present instance as lost, with nothing that it may still hold.
+func (t *Transaction) markLost(id string) {
+	record, found := findRecord(t, id)
 	if !found || record.Left {
 		return
 	}
@@ -54,8 +55,9 @@
 	t.PutInstance(lost)
 }
 
-func (t *Transaction) forgetWhatItHeld(id string) {
-	record, found := recordOf(t, id)
+// clearUncovered records that nothing a departed instance may hold matters any more.
+func (t *Transaction) clearUncovered(id string) {
+	record, found := findRecord(t, id)
 	if !found {
 		return
 	}
@@ -63,5 +65,5 @@
 	t.set(record.key(), encode(record))
 }
 
-// GiveUps returns what was given up last of each service, sorted by service.
+// GiveUps returns the last give-up of each service, sorted by service.
 func GiveUps(reader Reader) []GiveUp { return readAll[GiveUp](reader, giveUpPrefix) }
--- a/control/state/instance.go
+++ b/control/state/instance.go
@@ -9,18 +9,18 @@
 	"eiderway/control/replication"
 )
 
-// MaxDepartures is how many instances that left are kept, the last ones to leave. Calls that were held up for a minute
-// or two may still come from those; with about 300 bytes each they take under a megabyte.
+// MaxDepartures is the number of departed instances that are kept, the last ones to leave. Calls of theirs that were delayed by
+// a minute or two may still arrive. At about 300 bytes each, the records take less than a megabyte.
 const MaxDepartures = 2048
 
-// instanceRecord is an instance as it is stored. Those that left stand apart, so that what is asked of the present ones
-// costs the same however many there were before.
+// instanceRecord is an instance as it is stored. Departed instances are stored under a prefix of their own, so that reading the
+// present ones costs the same however many have departed.
 type instanceRecord struct {
 	Instance
-	Departure uint64 // numbers the departures of instances; 0 while it is here
+	Departure uint64 // sequence number of the departure; 0 while the instance is present
 }
 
-// key of the entry that holds the record.
+// key returns the key of the entry that holds the record.
 func (r instanceRecord) key() string {
 	if r.Left {
 		return departedKey(r.ID)
@@ -28,21 +28,21 @@
 	return instanceKey(r.ID)
 }
 
-// departureRecord leads from the number of a departure to the instance, so that the oldest are found.
+// departureRecord maps the sequence number of a departure to the instance, so that the oldest departures are found.
 type departureRecord struct {
 	Departure  uint64
 	InstanceID string
 }
 
-// PutInstance records an instance, in place of what was known of it. A record that would take back an end that may have been
-// acknowledged is not taken.
+// PutInstance replaces the record of an instance. It refuses a record that would revoke a drain or a leave that may have been
+// acknowledged, and notes the violation.
 func (t *Transaction) PutInstance(instance Instance) {
-	before, known := recordOf(t, instance.ID)
-	if known && before.takesBackEnd(instance) && !t.lacking.Lacks(guard.EndIsFinal) {
-		t.broken = append(t.broken, invariant.EndIsFinal+": "+instance.ID)
+	before, known := findRecord(t, instance.ID)
+	if known && before.revokesEnd(instance) && !t.disabled.Lacks(guard.EndIsFinal) {
+		t.violations = append(t.violations, invariant.EndIsFinal+": "+instance.ID)
 		return
 	}
-	t.moveAddress(instance.ID, before, instanceRecord{Instance: instance})
+	t.updateAddressIndex(instance.ID, before, instanceRecord{Instance: instance})
 	if instance.Left {
 		t.putDeparted(instance, before.Departure)
 		return
@@ -52,7 +52,7 @@
 	t.set(instanceKey(instance.ID), encode(instanceRecord{Instance: instance}))
 }
 
-// putDeparted records an instance that left, under the number of its departure if it had left before.
+// putDeparted records a departed instance. One that had departed before keeps the number of its departure.
 func (t *Transaction) putDeparted(instance Instance, departure uint64) {
 	if departure == 0 {
 		departure = t.recordDeparture(instance.ID)
@@ -61,20 +61,20 @@
 	t.set(departedKey(instance.ID), encode(instanceRecord{Instance: instance, Departure: departure}))
 }
 
-// recordDeparture numbers a departure, and forgets the oldest ones beyond MaxDepartures.
+// recordDeparture assigns a number to a departure, and evicts the oldest ones beyond MaxDepartures.
 func (t *Transaction) recordDeparture(id string) uint64 {
 	earlier := t.Entries(departurePrefix)
-	departure := departureRecord{Departure: departureAfter(earlier), InstanceID: id}
+	departure := departureRecord{Departure: nextDeparture(earlier), InstanceID: id}
 	for len(earlier) >= MaxDepartures {
-		t.forgetDeparture(earlier[0])
+		t.evictDeparture(earlier[0])
 		earlier = earlier[1:]
 	}
 	t.set(departureKey(departure.Departure), encode(departure))
 	return departure.Departure
 }
 
-// departureAfter returns the number that follows those of the entries.
-func departureAfter(departures []replication.Mutation) uint64 {
+// nextDeparture returns the number that follows those of the entries.
+func nextDeparture(departures []replication.Mutation) uint64 {
 	if len(departures) == 0 {
 		return 1
 	}
@@ -85,7 +85,8 @@
 	return last.Departure + 1
 }
 
-func (t *Transaction) forgetDeparture(entry replication.Mutation) {
+// evictDeparture drops a departure together with the record of its instance.
+func (t *Transaction) evictDeparture(entry replication.Mutation) {
 	var departure departureRecord
 	if decode(entry.Value, &departure) == nil {
 		t.drop(departedKey(departure.InstanceID))
@@ -93,6 +94,7 @@
 	t.drop(entry.Key)
 }
 
+// dropDeparture drops the departure of an instance and keeps its record.
 func (t *Transaction) dropDeparture(record instanceRecord) {
 	if record.Departure != 0 {
 		t.drop(departureKey(record.Departure))
@@ -101,26 +103,26 @@
 
 // RemoveInstance drops the record of an instance.
 func (t *Transaction) RemoveInstance(id string) {
-	record, found := recordOf(t, id)
+	record, found := findRecord(t, id)
 	if !found {
 		return
 	}
 	t.dropDeparture(record)
-	t.moveAddress(id, record, instanceRecord{})
+	t.updateAddressIndex(id, record, instanceRecord{})
 	t.drop(record.key())
 }
 
-// Instances returns all instances that are recorded, sorted by id, those that left included.
+// Instances returns all recorded instances, including the departed ones, sorted by id.
 func Instances(reader Reader) []Instance {
-	instances := append(PresentInstances(reader), instancesUnder(reader, departedPrefix)...)
+	instances := append(PresentInstances(reader), readInstances(reader, departedPrefix)...)
 	slices.SortFunc(instances, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
 	return instances
 }
 
-// PresentInstances returns the instances that have not left, sorted by id.
-func PresentInstances(reader Reader) []Instance { return instancesUnder(reader, instancePrefix) }
+// PresentInstances returns the instances that have not departed, sorted by id.
+func PresentInstances(reader Reader) []Instance { return readInstances(reader, instancePrefix) }
 
-func instancesUnder(reader Reader, prefix string) []Instance {
+func readInstances(reader Reader, prefix string) []Instance {
 	records := readAll[instanceRecord](reader, prefix)
 	instances := make([]Instance, 0, len(records))
 	for _, record := range records {
@@ -129,27 +131,27 @@
 	return instances
 }
 
-// InstanceByID returns an instance, also one that left.
+// InstanceByID returns a present or departed instance.
 func InstanceByID(reader Reader, id string) (Instance, bool) {
-	record, found := recordOf(reader, id)
+	record, found := findRecord(reader, id)
 	return record.Instance, found
 }
 
-func recordOf(reader Reader, id string) (instanceRecord, bool) {
+func findRecord(reader Reader, id string) (instanceRecord, bool) {
 	if record, found := read[instanceRecord](reader, instanceKey(id)); found {
 		return record, true
 	}
 	return read[instanceRecord](reader, departedKey(id))
 }
 
-// HasInstance tells whether an instance is recorded, also one that left, without reading the record.
+// HasInstance reports whether a present or departed instance is recorded, without decoding the record.
 func HasInstance(reader Reader, id string) bool {
 	_, present := reader.Entry(instanceKey(id))
 	_, departed := reader.Entry(departedKey(id))
 	return present || departed
 }
 
-// InstanceChanged tells whether the transaction changes the record of an instance.
+// InstanceChanged reports whether the transaction changes the record of an instance.
 func (t *Transaction) InstanceChanged(id string) bool {
 	_, present := t.changed[instanceKey(id)]
 	_, departed := t.changed[departedKey(id)]
--- a/control/state/keys.go
+++ b/control/state/keys.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// The kinds of entries, by the start of their keys. Numbers in keys have a fixed width, so that keys sort as numbers do.
+// Key prefixes, one for each kind of entry, with the record that is stored. Numbers in keys have a fixed width, so that keys sort
+// numerically.
 const (
 	configurationKey = "configuration/head"  // configurationHead
-	bodyPrefix       = "configuration/body/" // + number of the piece: its bytes, compressed
+	bodyPrefix       = "configuration/body/" // + number of the piece: its compressed bytes
 	orderPrefix      = "order/"              // + configuration number: orderRecord
-	instancePrefix   = "instance/"           // + id of an instance that is here: instanceRecord
-	departedPrefix   = "departed/"           // + id of an instance that left: instanceRecord
+	instancePrefix   = "instance/"           // + id of a present instance: instanceRecord
+	departedPrefix   = "departed/"           // + id of a departed instance: instanceRecord
 	addressPrefix    = "address/"            // + address of present instances: addressRecord
 	departurePrefix  = "departure/"          // + number of the departure: departureRecord
 	leaderPrefix     = "leader/"             // + service: leaderRecord
--- a/control/state/order.go
+++ b/control/state/order.go
@@ -2,12 +2,12 @@
 
 import "eiderway/control/configuration"
 
-// MaxOrders is how many taken configuration numbers are kept, the highest ones. With about 200 bytes each they take
-// under a megabyte, and a day holds hundreds of changes.
+// MaxOrders is the number of taken configuration numbers that are kept, the highest ones. At about 200 bytes each they take
+// less than a megabyte, and a day brings hundreds of changes.
 const MaxOrders = 4096
 
-// configurationHead describes the configuration in force. The services stand here again so that the body need not be
-// parsed each time they are asked for.
+// configurationHead describes the configuration in force. It repeats the services of the body, so that the body need not be
+// parsed to read them.
 type configurationHead struct {
 	Number   int64
 	Size     int // of the body as it was sent, in bytes
@@ -19,14 +19,14 @@
 	SyncReplicas int
 }
 
-// orderRecord says which content a configuration number was taken by.
+// orderRecord holds the digest of the content that a configuration number was taken by.
 type orderRecord struct {
 	Number int64
 	Digest string
 }
 
-// PlaceOrder decides on an order and records it. The same decision on the changed state gives Repeated, so that an
-// order sent again is acknowledged again by whichever controller holds the state then.
+// PlaceOrder accepts or refuses an order and records the result. The same order on the changed state gives Repeated, so that an
+// order that is sent again is acknowledged again by whichever controller is primary then.
 func (t *Transaction) PlaceOrder(order configuration.Order) OrderOutcome {
 	if taken, found := read[orderRecord](t, orderKey(order.Number)); found {
 		if taken.Digest == order.Digest {
@@ -43,7 +43,7 @@
 	return InForce
 }
 
-// recordOrder keeps the number as taken, and no more than MaxOrders of the highest numbers.
+// recordOrder records the number as taken, and keeps only the MaxOrders highest numbers.
 func (t *Transaction) recordOrder(order configuration.Order) {
 	record := orderRecord{Number: order.Number, Digest: order.Digest}
 	t.set(orderKey(order.Number), encode(record))
@@ -64,17 +64,17 @@
 	t.putBody(order.Body)
 }
 
-// Configuration returns the newest configuration as it was sent.
+// Configuration returns the configuration in force as it was sent.
 func Configuration(reader Reader) (number int64, body []byte, found bool) {
 	head, found := read[configurationHead](reader, configurationKey)
 	if !found {
 		return 0, nil, false
 	}
-	body, corruption := unpackBody(reader.Entries(bodyPrefix), head.Size)
+	body, corruption := decompressBody(reader.Entries(bodyPrefix), head.Size)
 	return head.Number, body, corruption == nil
 }
 
-// ConfigurationNumber returns the number of the newest configuration, 0 if there is none.
+// ConfigurationNumber returns the number of the configuration in force, 0 if there is none.
 func ConfigurationNumber(reader Reader) int64 {
 	head, _ := read[configurationHead](reader, configurationKey)
 	return head.Number
--- a/control/state/order_test.go
+++ b/control/state/order_test.go
@@ -19,41 +19,41 @@
 	"eiderway/control/state/statetest"
 )
 
-// orderOf makes an order as Parse would.
+// orderOf returns an order with a digest of its content, as Parse would.
 func orderOf(number int64, content string) configuration.Order {
 	digest := fmt.Sprintf("%x", sha256.Sum256([]byte(content)))
 	return configuration.Order{Number: number, Digest: digest, Body: []byte(content)}
 }
 
-// place decides on an order in a transaction of its own.
+// place applies an order in a transaction of its own.
 func place(memory *statetest.Memory, order configuration.Order) state.OrderOutcome {
 	transaction := state.NewTransaction(memory)
-	verdict := transaction.PlaceOrder(order)
+	outcome := transaction.PlaceOrder(order)
 	memory.Commit(transaction)
-	return verdict
+	return outcome
 }
 
-func TestOrderVerdicts(t *testing.T) {
+func TestOrderOutcomes(t *testing.T) {
 	is := is.New(t)
 	memory := statetest.NewMemory()
 	for _, step := range []struct {
 		number  int64
 		content string
-		verdict state.OrderOutcome
+		outcome state.OrderOutcome
 		inForce int64
 	}{
 		{30, "a", state.InForce, 30},
 		{30, "a", state.Repeated, 30},
 		{30, "b", state.Conflict, 30},
 		{34, "c", state.InForce, 34},
-		{30, "a", state.Repeated, 34}, // also after a higher number
+		{30, "a", state.Repeated, 34}, // even after a higher number
 		{31, "d", state.Superseded, 34},
 		{31, "d", state.Repeated, 34},
-		{31, "c", state.Conflict, 34}, // the content in force under another number is another content
+		{31, "c", state.Conflict, 34}, // the content in force under another number is still different content
 		{34, "d", state.Conflict, 34},
 		{35, "c", state.InForce, 35},
 	} {
-		is.Equal(place(memory, orderOf(step.number, step.content)), step.verdict)
+		is.Equal(place(memory, orderOf(step.number, step.content)), step.outcome)
 		number, _, found := state.Configuration(memory)
 		is.True(found)
 		is.Equal(number, step.inForce)
@@ -92,16 +92,16 @@
 	is.Equal(len(memory.Entries("order/")), state.MaxOrders)
 	is.Equal(place(memory, orderOf(11, "a")), state.Repeated) // the lowest that is kept
 	is.Equal(place(memory, orderOf(11, "b")), state.Conflict)
-	is.Equal(place(memory, orderOf(10, "b")), state.Superseded) // forgotten
+	is.Equal(place(memory, orderOf(10, "b")), state.Superseded) // its record was dropped
 	is.Equal(len(memory.Entries("order/")), state.MaxOrders)
-	is.Equal(place(memory, orderOf(11, "a")), state.Repeated) // not pushed out by what is forgotten
+	is.Equal(place(memory, orderOf(11, "a")), state.Repeated) // not evicted by the order below it
 	is.NoErr(state.Verify(memory))
 }
 
-func TestBodiesInPieces(t *testing.T) {
+func TestLongBodyIsSplitAndOnlyChangedPiecesAreWritten(t *testing.T) {
 	is := is.New(t)
 	memory := statetest.NewMemory()
-	random := make([]byte, 320<<10) // six pieces, which compression can't make smaller
+	random := make([]byte, 320<<10) // six incompressible pieces
 	_, _ = rand.NewChaCha8([32]byte{}).Read(random)
 	long := string(random)
 	place(memory, orderOf(1, long))
@@ -118,18 +118,18 @@
 	for _, mutation := range transaction.Mutations() {
 		written += len(mutation.Value)
 	}
-	is.True(written < 70<<10) // the pieces that are as before are not written again
+	is.True(written < 70<<10) // unchanged pieces are not written again
 	memory.Commit(transaction)
 
 	place(memory, orderOf(3, "short"))
 	_, body, found := state.Configuration(memory)
 	is.True(found)
-	is.Equal(string(body), "short") // nothing is left of the longer one
+	is.Equal(string(body), "short") // the pieces of the longer one are dropped
 	is.NoErr(state.Verify(memory))
 }
 
-// What operators send repeats itself, and is carried and kept small. It comes back byte by byte.
-func TestBodiesAreKeptCompressed(t *testing.T) {
+// Bodies that operators send are repetitive. They must be stored compressed, and read back byte for byte.
+func TestBodiesAreStoredCompressed(t *testing.T) {
 	is := is.New(t)
 	memory := statetest.NewMemory()
 	sent := manyRoutes(1, 5000)
@@ -142,7 +142,7 @@
 
 	transaction := state.NewTransaction(memory)
 	transaction.PlaceOrder(orderOf(2, strings.Replace(sent, "r4000", "x4000", 1)))
-	is.Equal(len(bodyMutations(transaction)), 1) // also in the middle, other pieces are as before
+	is.Equal(len(bodyMutations(transaction)), 1) // a change in the middle leaves the other pieces as they are
 }
 
 func bodyMutations(transaction *state.Transaction) []replication.Mutation {
@@ -151,7 +151,7 @@
 	})
 }
 
-func TestChangesOfInstancesLeaveTheBodyAlone(t *testing.T) {
+func TestInstanceChangeDoesNotRewriteTheBody(t *testing.T) {
 	is := is.New(t)
 	memory := statetest.NewMemory()
 	place(memory, orderOf(1, strings.Repeat("x", 1<<20)))
@@ -160,8 +160,8 @@
 	is.Equal(len(transaction.Mutations()), 1)
 }
 
-// Orders come in any order, many times, to controllers that take over from each other, and answers get lost. Whatever is
-// acknowledged under one number is one content, and what was acknowledged once is acknowledged again.
+// Orders arrive in any sequence and repeatedly, at controllers that take over from each other, and some changes are lost. Each
+// number must be acknowledged for one content only, and an acknowledged order must be acknowledged again.
 func TestNoNumberIsAcknowledgedForTwoContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		memory := statetest.NewMemory()
@@ -171,17 +171,17 @@
 			number := rapid.Int64Range(1, 8).Draw(t, "number")
 			content := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "content")
 			transaction := state.NewTransaction(memory)
-			verdict := transaction.PlaceOrder(orderOf(number, content))
+			outcome := transaction.PlaceOrder(orderOf(number, content))
 			if rapid.IntRange(0, 4).Draw(t, "fate") == 0 {
 				continue // the primary died before the change was committed, so nobody was answered
 			}
 			memory.Commit(transaction)
-			memory = memory.Clone() // another controller goes on
+			memory = memory.Clone() // another controller continues
 			before, taken := acknowledged[number]
-			if (verdict == state.Conflict) != (taken && before != content) {
-				t.Fatalf("order %d %q: verdict %d, taken by %q", number, content, verdict, before)
+			if (outcome == state.Conflict) != (taken && before != content) {
+				t.Fatalf("order %d %q: outcome %d, number taken by %q", number, content, outcome, before)
 			}
-			if verdict != state.Conflict {
+			if outcome != state.Conflict {
 				acknowledged[number] = content
 				highest = max(highest, number)
 			}
@@ -196,7 +196,7 @@
 	})
 }
 
-// A transaction over a reader and one over what is committed step by step come to the same.
+// One transaction with many commands must show the same entries as a transaction for each command, committed one by one.
 func TestTransactionReadsAsIfCommitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		overlaid, committed := statetest.NewMemory(), statetest.NewMemory()
@@ -216,7 +216,7 @@
 		}
 		overlaid.Commit(whole)
 		if fmt.Sprint(overlaid.Entries("")) != fmt.Sprint(committed.Entries("")) {
-			t.Fatal("the mutations don't give what the transaction showed")
+			t.Fatal("the committed mutations differ from what the transaction showed")
 		}
 		if err := state.Verify(overlaid); err != nil {
 			t.Fatal(err)
@@ -224,7 +224,7 @@
 	})
 }
 
-// checkAddresses compares what is found by address with what is found among all.
+// checkAddresses compares a lookup by address with a search through all instances.
 func checkAddresses(t *rapid.T, reader state.Reader) {
 	for _, address := range []string{"a:1", "b:1"} {
 		var present []state.Instance
@@ -234,12 +234,12 @@
 			}
 		}
 		if at := state.InstancesAt(reader, address); fmt.Sprint(at) != fmt.Sprint(present) {
-			t.Fatalf("at %s: %v, present there: %v", address, at, present)
+			t.Fatalf("instances at %s by the index: %v, by search: %v", address, at, present)
 		}
 	}
 }
 
-// drawStep draws one command.
+// drawStep draws a random command.
 func drawStep(t *rapid.T) func(*state.Transaction) {
 	id := rapid.SampledFrom([]string{"i1", "i2", "i3"}).Draw(t, "id")
 	switch rapid.IntRange(0, 4).Draw(t, "command") {
--- a/control/state/restored.go
+++ b/control/state/restored.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// MarkInstancesDraining marks all present instances as draining, until each shows by a new life that it doesn't: the state was brought back from a
-// dump, and a drain that was acknowledged since isn't in it. The highest callSeq has every beat count as late, so that only a new count of
-// calls with a beat in it that says that the instance is warming up ends the drain.
+// MarkInstancesDraining marks all present instances as draining until each of them starts a new life. It is applied to a state
+// restored from a dump, which lacks any drain that was acknowledged after the dump was made. With the highest CallSeq every
+// heartbeat counts as late, so that the drain ends only when an instance counts its calls anew and reports that it is warming up.
 func (t *Transaction) MarkInstancesDraining() {
 	for _, instance := range PresentInstances(t) {
 		instance.Draining = true
--- a/control/state/service.go
+++ b/control/state/service.go
@@ -20,48 +20,48 @@
 	t.set(leaderKey(service), encode(leaderRecord{Service: service, Leader: leader}))
 }
 
-// floorRecord is the furthest position that covers instances of a service that have departed.
+// floorRecord is the highest position up to which departed instances of a service may hold acknowledged commits.
 type floorRecord struct {
 	Service  string
 	Position failover.Position
 }
 
-// CoverDeparture records what an instance that has departed may hold at the most.
+// CoverDeparture records the highest position up to which a departed instance may hold acknowledged commits.
 func (t *Transaction) CoverDeparture(covered failover.CoveredDeparture) {
-	record, found := recordOf(t, covered.InstanceID)
+	record, found := findRecord(t, covered.InstanceID)
 	if !found || !record.Left || !record.Uncovered {
-		return // it is back, or forgotten
+		return // it is back, covered already, or its record was evicted
 	}
 	record.Uncovered = false
 	t.set(record.key(), encode(record))
-	if floor := floorOf(t, covered.Service); floor.Less(covered.Position) {
+	if floor := readFloor(t, covered.Service); floor.Less(covered.Position) {
 		t.set(floorKey(covered.Service), encode(floorRecord{Service: covered.Service, Position: covered.Position}))
 	}
 }
 
-func floorOf(reader Reader, service string) failover.Position {
+func readFloor(reader Reader, service string) failover.Position {
 	record, _ := read[floorRecord](reader, floorKey(service))
 	return record.Position
 }
 
-// UncoveredDepartures returns the instances that have departed and may hold what no position covers, by service, the newest ones if
-// there are many. It reads the records of all that left.
+// UncoveredDepartures returns, by service, the departed instances that may hold acknowledged commits which no known position
+// bounds: the newest ones if there are many. It reads the records of all departed instances.
 func UncoveredDepartures(reader Reader) map[string][]feed.Instance {
 	records := readAll[instanceRecord](reader, departedPrefix)
 	slices.SortFunc(records, func(a, b instanceRecord) int { return cmp.Compare(b.Departure, a.Departure) })
 	departed := make(map[string][]feed.Instance)
 	for _, record := range records {
-		if record.Uncovered && len(departed[record.Service]) < mostUncovered {
+		if record.Uncovered && len(departed[record.Service]) < maxUncoveredDepartures {
 			departed[record.Service] = append(departed[record.Service], record.Instance.Instance)
 		}
 	}
 	return departed
 }
 
-// mostUncovered bounds the departures that a new primary is told of, for each service.
-const mostUncovered = 16
+// maxUncoveredDepartures bounds the departures that a new primary is told about, for each service.
+const maxUncoveredDepartures = 16
 
-// SetIntent records a failover that may be under way, in place of an earlier one of the service.
+// SetIntent records a failover that may be in progress, and replaces an earlier one of the service.
 func (t *Transaction) SetIntent(intent failover.Intent) {
 	t.set(intentKey(intent.Service), encode(intent))
 }
@@ -78,24 +78,25 @@
 	return leaders
 }
 
-// Intents returns the failovers that may be under way, sorted by service.
+// Intents returns the failovers that may be in progress, sorted by service.
 func Intents(reader Reader) []failover.Intent {
 	return readAll[failover.Intent](reader, intentPrefix)
 }
 
-// ServiceReader reads services again and again, and decodes again only the records of instances that have changed.
+// ServiceReader reads services repeatedly, and decodes only the records of instances that have changed since the last time.
 type ServiceReader struct{ decoded map[string]decodedInstance }
 
-// decodedInstance is a record with the bytes that it was decoded from. Entries are never changed in place.
+// decodedInstance is a record with the bytes that it was decoded from. Entries are never modified in place, so the same memory
+// means the same record.
 type decodedInstance struct {
 	from     []byte
 	instance Instance
 }
 
-// NewServiceReader has read nothing yet.
+// NewServiceReader returns a reader with an empty cache.
 func NewServiceReader() *ServiceReader { return &ServiceReader{decoded: map[string]decodedInstance{}} }
 
-// present returns the instances that have not left, sorted by id.
+// present returns the instances that have not departed, sorted by id.
 func (r *ServiceReader) present(reader Reader) []Instance {
 	entries := reader.Entries(instancePrefix)
 	next := make(map[string]decodedInstance, len(entries))
@@ -116,14 +117,14 @@
 	return instances
 }
 
-// sameBytes tells whether two slices are the same memory.
+// sameBytes reports whether two slices share the same memory.
 func sameBytes(a, b []byte) bool { return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0] }
 
-// Services returns each service of the configuration, of an instance that has not left, or of a failover that may be
-// under way, sorted by name.
+// Services returns each service that the configuration, a present instance, or a failover that may be in progress names,
+// sorted by name.
 func Services(reader Reader) []failover.ServiceView { return NewServiceReader().Services(reader) }
 
-// Services returns what the function of the same name does.
+// Services does the same as the function Services.
 func (r *ServiceReader) Services(reader Reader) []failover.ServiceView {
 	views := make(serviceViews)
 	head, _ := read[configurationHead](reader, configurationKey)
@@ -155,9 +156,10 @@
 	return views.sorted()
 }
 
-// serviceViews collects what is known of services, by name.
+// serviceViews collects the views of services by name.
 type serviceViews map[string]*failover.ServiceView
 
+// of returns the view of a service, which it adds if there is none.
 func (v serviceViews) of(service string) *failover.ServiceView {
 	view, found := v[service]
 	if !found {
--- a/control/state/state_test.go
+++ b/control/state/state_test.go
@@ -30,7 +30,7 @@
 	return gone
 }
 
-func TestRecordsComeBackAsTheyWerePut(t *testing.T) {
+func TestRecordsAreReadBackAsWritten(t *testing.T) {
 	is := is.New(t)
 	transaction := state.NewTransaction(statetest.NewMemory())
 	transaction.PutInstance(instance("i2", "s"))
@@ -40,7 +40,7 @@
 	is.True(known)
 	is.Equal(found, instance("i2", "s"))
 	_, known = state.InstanceByID(transaction, "i")
-	is.True(!known) // the start of an id is no id
+	is.True(!known) // the prefix of an id is not an id
 
 	leader := feed.Leader{InstanceID: "i2", Term: 4}
 	transaction.SetLeader("s", leader)
@@ -55,7 +55,7 @@
 	transaction.RemoveInstance("i1")
 	transaction.RemoveInstance("i2")
 	is.Equal(len(state.Instances(transaction)), 0)
-	is.Equal(len(transaction.Mutations()), 1) // the leader alone: what came and went leaves nothing
+	is.Equal(len(transaction.Mutations()), 1) // the leader alone: records that were added and removed leave no change
 }
 
 func TestServices(t *testing.T) {
@@ -93,14 +93,14 @@
 	memory := statetest.NewMemory()
 	put(memory, instance("here", "s"))
 	for index := range state.MaxDepartures {
-		put(memory, left(fmt.Sprintf("i%04d", state.MaxDepartures-index), "s")) // the first to leave sorts last
+		put(memory, left(fmt.Sprintf("i%04d", state.MaxDepartures-index), "s")) // the first to depart sorts last
 	}
 	oldest, second := fmt.Sprintf("i%04d", state.MaxDepartures), fmt.Sprintf("i%04d", state.MaxDepartures-1)
-	put(memory, left(oldest, "other")) // a change of the record is no new departure
+	put(memory, left(oldest, "other")) // a changed record is not a new departure
 	is.Equal(len(state.Instances(memory)), state.MaxDepartures+1)
 
-	put(memory, inNextLife(instance(second, "s"))) // came back
-	put(memory, left("last", "s"))                 // takes its place
+	put(memory, inNextLife(instance(second, "s"))) // returns
+	put(memory, left("last", "s"))                 // departs in its place
 	put(memory, left("more", "s"))
 	for id, kept := range map[string]bool{oldest: false, second: true, "here": true, "last": true, "more": true} {
 		_, known := state.InstanceByID(memory, id)
@@ -110,15 +110,16 @@
 	is.NoErr(state.Verify(memory))
 }
 
-// inNextLife is an instance that was started anew since it said that it goes.
+// inNextLife returns the instance after a restart that follows its drain or leave.
 func inNextLife(instance state.Instance) state.Instance {
 	instance.Life++
 	return instance
 }
 
-// An end that may have been acknowledged is not taken back within a life, whoever asks for it, and it is told.
-func TestAnEndIsFinalInItsLife(t *testing.T) {
-	drains := instance("i", "s")
+// A drain or a leave that may have been acknowledged must not be revoked within the life of the instance. The attempt is refused and
+// reported as a violation.
+func TestDrainOrLeaveIsFinalWithinALife(t *testing.T) {
+	draining := instance("i", "s")
 	ready := instance("i", "s")
 	ready.Draining = false
 	lost := left("i", "s")
@@ -129,29 +130,29 @@
 	displaced.Displaced = true
 	drainedAndLost := lost
 	drainedAndLost.Draining = true
-	servesOn := drains
-	servesOn.Farewell = true
-	farewellAndLost := drainedAndLost
-	farewellAndLost.Farewell = true
+	leaving := draining
+	leaving.Farewell = true
+	leavingAndLost := drainedAndLost
+	leavingAndLost.Farewell = true
 	for name, one := range map[string]struct {
 		before, next state.Instance
 		refused      bool
 	}{
-		"a drain":                         {drains, ready, true},
-		"a leave":                         {left("i", "s"), ready, true},
-		"a leave, for a drain":            {left("i", "s"), drains, true},
-		"a leave, for silence":            {left("i", "s"), lost, true},
-		"a drain before a silence":        {drainedAndLost, ready, true},
-		"a leave before a silence":        {farewellAndLost, ready, true},
-		"a leave before it has ended":     {servesOn, drains, true},
-		"a leave, and then it has ended":  {servesOn, farewellAndLost, false},
-		"a drain in another life":         {drains, inNextLife(ready), false},
-		"a leave in another life":         {left("i", "s"), inNextLife(ready), false},
-		"a drain goes on":                 {drains, drains, false},
-		"a leave after a drain":           {drains, left("i", "s"), false},
-		"a silence":                       {lost, ready, false},
-		"a drain before a silence, still": {drainedAndLost, drains, false},
-		"another at its address":          {displaced, ready, false},
+		"a drain":                          {draining, ready, true},
+		"a leave":                          {left("i", "s"), ready, true},
+		"a leave, replaced by a drain":     {left("i", "s"), draining, true},
+		"a leave, replaced by a loss":      {left("i", "s"), lost, true},
+		"a drain before a loss":            {drainedAndLost, ready, true},
+		"a leave before a loss":            {leavingAndLost, ready, true},
+		"an announced leave":               {leaving, draining, true},
+		"a loss after an announced leave":  {leaving, leavingAndLost, false},
+		"a drain in an earlier life":       {draining, inNextLife(ready), false},
+		"a leave in an earlier life":       {left("i", "s"), inNextLife(ready), false},
+		"a continued drain":                {draining, draining, false},
+		"a leave after a drain":            {draining, left("i", "s"), false},
+		"a loss":                           {lost, ready, false},
+		"a drain before a loss, continued": {drainedAndLost, draining, false},
+		"another instance at its address":  {displaced, ready, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -170,17 +171,17 @@
 	}
 }
 
-// compressed is a text as the pieces of a configuration are stored.
+// compressed returns a text compressed as the pieces of a configuration are.
 func compressed(text string) string {
 	var packed bytes.Buffer
-	packer, _ := flate.NewWriter(&packed, flate.BestSpeed)
-	_, _ = packer.Write([]byte(text))
-	_ = packer.Close()
+	writer, _ := flate.NewWriter(&packed, flate.BestSpeed)
+	_, _ = writer.Write([]byte(text))
+	_ = writer.Close()
 	return packed.String()
 }
 
-func TestVerifyFindsWhatReadersSkip(t *testing.T) {
-	for _, lie := range []struct {
+func TestVerifyReportsCorruptEntriesThatReadersSkip(t *testing.T) {
+	for _, corrupt := range []struct {
 		key   string
 		value string
 	}{
@@ -190,9 +191,9 @@
 		{"instance/i1", "\x01{\"ID\":\"i2\"}"},
 		{"instance/i1", "\x01{\"ID\":\"i1\",\"Left\":true}"},
 		{"departed/i1", "\x01{\"ID\":\"i1\"}"},
-		{"departed/i1", "\x01{\"ID\":\"i1\",\"Left\":true,\"Departure\":1}"}, // a departure that isn't recorded
+		{"departed/i1", "\x01{\"ID\":\"i1\",\"Left\":true,\"Departure\":1}"}, // a departure that is not recorded
 		{"departed/here", "\x01{\"ID\":\"here\",\"Left\":true}"},
-		{"instance/unnamed", "\x01{\"ID\":\"unnamed\",\"Address\":\"a:1\"}"}, // not in the index
+		{"instance/unnamed", "\x01{\"ID\":\"unnamed\",\"Address\":\"a:1\"}"}, // missing in the address index
 		{"address/here:1", "\x01{}"},
 		{"address/here:1", "\x01{\"Address\":\"here:1\"}"},
 		{"address/here:1", "\x01{\"Address\":\"here:1\",\"InstanceIDs\":[\"other\"]}"},
@@ -213,16 +214,16 @@
 		{"configuration/body/000000", compressed(strings.Repeat("a", 64<<20))},
 		{"configuration/body/000001", compressed("x")},
 	} {
-		t.Run(fmt.Sprintf("%s=%q", lie.key, lie.value), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s=%q", corrupt.key, corrupt.value), func(t *testing.T) {
 			is := is.New(t)
 			memory := statetest.NewMemory()
 			place(memory, orderOf(1, "a body"))
 			put(memory, instance("here", "s"))
 			is.NoErr(state.Verify(memory))
-			memory.Put(lie.key, []byte(lie.value))
+			memory.Put(corrupt.key, []byte(corrupt.value))
 			var corruption *state.Corruption
 			is.True(errors.As(state.Verify(memory), &corruption))
-			state.Services(memory) // must not panic, as all readers
+			state.Services(memory) // none of the readers may panic
 			state.Leaders(memory)
 			state.Configuration(memory)
 			state.Instances(memory)
@@ -232,8 +233,8 @@
 	}
 }
 
-// An instance stands either with those that are here or with those that left, and readers of all see both in order.
-func TestInstancesThatLeftStandApart(t *testing.T) {
+// An instance is recorded either as present or as departed, and Instances returns both kinds sorted by id.
+func TestDepartedInstancesAreStoredSeparately(t *testing.T) {
 	is := is.New(t)
 	memory := statetest.NewMemory()
 	for _, id := range []string{"i1", "i2", "i3"} {
@@ -256,8 +257,8 @@
 	is.NoErr(state.Verify(memory))
 }
 
-// What instances that departed may hold is known to a later primary: who is not covered, and how far the covered ones reach.
-func TestDeparturesAreCovered(t *testing.T) {
+// A later primary must know which departed instances are not covered, and up to which position the covered ones may hold commits.
+func TestCoveredDeparturesRaiseTheFloor(t *testing.T) {
 	is := is.New(t)
 	memory := statetest.NewMemory()
 	put(memory, instance("here", "s"))
@@ -266,14 +267,14 @@
 		gone.Uncovered = id != "c"
 		put(memory, gone)
 	}
-	of := func() []string {
+	uncovered := func() []string {
 		var ids []string
 		for _, departed := range state.UncoveredDepartures(memory)["s"] {
 			ids = append(ids, departed.ID)
 		}
 		return ids
 	}
-	is.Equal(of(), []string{"b", "a"}) // the newest first
+	is.Equal(uncovered(), []string{"b", "a"}) // the newest first
 	for _, covered := range []failover.CoveredDeparture{
 		{Service: "s", InstanceID: "a", Position: failover.Position{Term: 2, Number: 9}},
 		{Service: "s", InstanceID: "b", Position: failover.Position{Term: 2, Number: 7}},
@@ -285,7 +286,7 @@
 		transaction.CoverDeparture(covered)
 		memory.Commit(transaction)
 	}
-	is.Equal(len(of()), 0)
-	is.Equal(state.Services(memory)[0].Floor, failover.Position{Term: 2, Number: 9}) // the furthest
+	is.Equal(len(uncovered()), 0)
+	is.Equal(state.Services(memory)[0].Floor, failover.Position{Term: 2, Number: 9}) // the highest
 	is.NoErr(state.Verify(memory))
 }
--- a/control/state/statetest/memory.go
+++ b/control/state/statetest/memory.go
@@ -1,4 +1,4 @@
-// Package statetest holds a control state in memory, for tests of what decides on it.
+// Package statetest provides an in-memory control state for tests.
 package statetest
 
 import (
@@ -10,10 +10,10 @@
 	"eiderway/control/state"
 )
 
-// Memory is a control state without copies. It is a state.Reader.
+// Memory is a control state that is neither replicated nor stored. It implements state.Reader.
 type Memory struct{ entries []replication.Mutation } // sorted by key
 
-// NewMemory holds nothing.
+// NewMemory returns an empty control state.
 func NewMemory() *Memory { return &Memory{} }
 
 // Entry implements state.Reader.
@@ -35,7 +35,7 @@
 	return slices.Clip(m.entries[start:end])
 }
 
-// Commit applies what a transaction over this memory changed.
+// Commit applies the changes of a transaction over this memory.
 func (m *Memory) Commit(transaction *state.Transaction) {
 	for _, mutation := range transaction.Mutations() {
 		if mutation.Delete {
@@ -46,7 +46,7 @@
 	}
 }
 
-// Put sets an entry to any bytes, as a disk that lies would.
+// Put sets an entry to any bytes, as a faulty disk could.
 func (m *Memory) Put(key string, value []byte) {
 	entry := replication.Mutation{Key: key, Value: value}
 	index, found := m.find(key)
@@ -69,5 +69,5 @@
 	})
 }
 
-// Clone is a copy that is on its own from then on.
+// Clone returns an independent copy.
 func (m *Memory) Clone() *Memory { return &Memory{entries: slices.Clone(m.entries)} }
--- a/control/state/transaction.go
+++ b/control/state/transaction.go
@@ -10,23 +10,23 @@
 	"eiderway/control/replication"
 )
 
-// Transaction is an overlay over a Reader, which must not change meanwhile. Commands are decided on it one by one, each
-// seeing what those before it did. It is a Reader itself.
+// Transaction is an overlay over a Reader, which must not change meanwhile. Commands are applied to it one by one, and each
+// sees the effects of those before it. A Transaction is a Reader itself.
 type Transaction struct {
-	base    Reader
-	changed map[string]replication.Mutation
-	lacking guard.Set
-	broken  []string // invariants that something would have broken; it was not done
+	base       Reader
+	changed    map[string]replication.Mutation
+	disabled   guard.Set
+	violations []string // invariants that a refused change would have violated
 }
 
-// NewTransaction starts a transaction in which nothing is changed.
+// NewTransaction returns a transaction without changes.
 func NewTransaction(reader Reader) *Transaction {
 	return &Transaction{base: reader, changed: make(map[string]replication.Mutation)}
 }
 
 // DisableGuards disables rules, for tests that show what each of them prevents.
 func (t *Transaction) DisableGuards(guards guard.Set) *Transaction {
-	t.lacking = guards
+	t.disabled = guards
 	return t
 }
 
@@ -41,7 +41,7 @@
 // Entries returns the entries whose keys start with the prefix, sorted by key. They must not be modified.
 func (t *Transaction) Entries(prefix string) []replication.Mutation {
 	base := t.base.Entries(prefix)
-	changed := t.changedUnder(prefix)
+	changed := t.changesWithPrefix(prefix)
 	if len(changed) == 0 {
 		return base
 	}
@@ -60,17 +60,17 @@
 	return merged
 }
 
-// Violations returns the invariants that commands would have broken.
-func (t *Transaction) Violations() []string { return t.broken }
+// Violations returns the invariants that refused changes would have violated.
+func (t *Transaction) Violations() []string { return t.violations }
 
-// Mutations returns what was changed, sorted by key. It is empty if everything is as it was.
+// Mutations returns the net changes, sorted by key. It is empty if every entry is as before.
 func (t *Transaction) Mutations() []replication.Mutation {
-	mutations := t.changedUnder("")
+	mutations := t.changesWithPrefix("")
 	sortByKey(mutations)
 	return mutations
 }
 
-func (t *Transaction) changedUnder(prefix string) []replication.Mutation {
+func (t *Transaction) changesWithPrefix(prefix string) []replication.Mutation {
 	var mutations []replication.Mutation
 	for key, mutation := range t.changed {
 		if strings.HasPrefix(key, prefix) {
@@ -84,6 +84,7 @@
 	slices.SortFunc(mutations, func(a, b replication.Mutation) int { return cmp.Compare(a.Key, b.Key) })
 }
 
+// set writes an entry. A value equal to that of the base is not recorded as a change.
 func (t *Transaction) set(key string, value []byte) {
 	before, found := t.base.Entry(key)
 	if found && bytes.Equal(before, value) {
@@ -93,6 +94,7 @@
 	t.changed[key] = replication.Mutation{Key: key, Value: value}
 }
 
+// drop deletes an entry. The deletion of an entry that the base doesn't have is not recorded as a change.
 func (t *Transaction) drop(key string) {
 	if _, found := t.base.Entry(key); !found {
 		delete(t.changed, key)
--- a/control/state/verify.go
+++ b/control/state/verify.go
@@ -6,8 +6,8 @@
 	"eiderway/control/failover"
 )
 
-// Corruption says which entry of the control state does not mean anything. Only a disk that gives back other bytes than
-// it took, or a fault of this package, brings that about.
+// Corruption describes an invalid entry of the control state. Only a disk that returns other bytes than were written to it, or a
+// bug in this package, causes it.
 type Corruption struct {
 	Key     string
 	Problem string
@@ -17,9 +17,8 @@
 	return fmt.Sprintf("control state entry %q: %s", c.Key, c.Problem)
 }
 
-// Verify checks that all entries of known kinds can be decoded and belong together. Readers skip those that can't be
-// decoded, so a controller should verify what it read from its disk before it offers it as a copy. The error is a
-// *Corruption.
+// Verify checks that all entries of known kinds can be decoded and are consistent. Readers skip entries that can't be decoded, so
+// a controller should verify what it read from its disk before it serves as a copy. The error is a *Corruption.
 func Verify(reader Reader) error {
 	kinds := []func(Reader) *Corruption{
 		verifyConfiguration,
@@ -42,7 +41,7 @@
 	return nil
 }
 
-// verifyRecords checks the records of one kind: each must be decoded, and stand under its own key.
+// verifyRecords checks that each record of one kind can be decoded and is stored under its own key.
 func verifyRecords[Record any](prefix string, keyOf func(Record) string) func(Reader) *Corruption {
 	return func(reader Reader) *Corruption {
 		for _, entry := range reader.Entries(prefix) {
@@ -58,7 +57,7 @@
 	}
 }
 
-// verifyDeparted checks that an instance that left is not also here, and that its departure is recorded.
+// verifyDeparted checks that no departed instance is also recorded as present, and that each departure is recorded.
 func verifyDeparted(reader Reader) *Corruption {
 	for _, record := range readAll[instanceRecord](reader, departedPrefix) {
 		if _, present := reader.Entry(instanceKey(record.ID)); present {
@@ -72,6 +71,7 @@
 	return nil
 }
 
+// verifyConfiguration checks the head and the body of the configuration, and that its number is recorded as taken.
 func verifyConfiguration(reader Reader) *Corruption {
 	encoded, found := reader.Entry(configurationKey)
 	if !found {
@@ -81,7 +81,7 @@
 	if err := decode(encoded, &head); err != nil {
 		return &Corruption{Key: configurationKey, Problem: err.Error()}
 	}
-	if _, corruption := unpackBody(reader.Entries(bodyPrefix), head.Size); corruption != nil {
+	if _, corruption := decompressBody(reader.Entries(bodyPrefix), head.Size); corruption != nil {
 		return corruption
 	}
 	if _, found := reader.Entry(orderKey(head.Number)); !found {
