--- a/control/store/check.go
+++ b/control/store/check.go
@@ -13,7 +13,7 @@
 	"eiderway/control/quorum"
 )
 
-// Report tells what a sound file holds.
+// Report describes the content of an intact file.
 type Report struct {
 	Path        string
 	Format      int
@@ -23,10 +23,10 @@
 	Entries     int
 	EntryBytes  int64 // of keys and values
 	FileBytes   int64
-	UsedBytes   int64 // of the file; the rest is free for later transactions
+	UsedBytes   int64 // part of FileBytes; the rest is free for later transactions
 }
 
-// Check reads the whole file and returns an error if it is damaged, in use, or of a newer format. It changes nothing.
+// Check reads the whole file and returns an error if it is damaged, in use, or of a newer format. It doesn't modify the file.
 func Check(path string) (Report, error) {
 	found, size, err := readShared(path)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return err
 }
 
-// String gives the report as text, a line for each fact.
+// String returns the report as text, one fact per line.
 func (r Report) String() string {
 	var text strings.Builder
 	line := func(name, format string, arguments ...any) {
--- a/control/store/contents.go
+++ b/control/store/contents.go
@@ -15,14 +15,14 @@
 	entriesBucket    = "entries"
 )
 
-// contents is all that a file holds.
+// contents is the decoded content of a file.
 type contents struct {
 	head    head
 	entries map[string][]byte
-	pages   int // in use
+	pages   int // number of pages in use
 }
 
-// newContents is the state of a new incarnation.
+// newContents returns the state of a new incarnation.
 func newContents(incarnation quorum.Incarnation, mayFound bool) contents {
 	return contents{head: head{
 		Incarnation: incarnation,
@@ -30,6 +30,7 @@
 	}}
 }
 
+// durable returns the part of the contents that the replication needs.
 func (c contents) durable() replication.DurableState {
 	return replication.DurableState{
 		Incarnation: c.head.Incarnation,
@@ -39,22 +40,22 @@
 	}
 }
 
-// checkSums tells whether the entries are those that the head was written with.
+// checkSums returns an error if the entries don't match the count and the checksum in the head.
 func (c contents) checkSums() error {
-	counted := head{}
+	computed := head{}
 	for key, value := range c.entries {
-		counted.add(key, value)
+		computed.add(key, value)
 	}
-	if counted.Entries != c.head.Entries {
-		return damaged("%d entries where there were %d", counted.Entries, c.head.Entries)
+	if computed.Entries != c.head.Entries {
+		return damaged("the file holds %d entries instead of %d", computed.Entries, c.head.Entries)
 	}
-	if counted.Sum != c.head.Sum {
-		return damaged("the entries do not fit their sum")
+	if computed.Sum != c.head.Sum {
+		return damaged("the entries do not match their checksum")
 	}
 	return nil
 }
 
-// collector takes in what walkPages visits.
+// collector copies what walkPages visits.
 type collector struct {
 	format, head []byte
 	entries      map[string][]byte
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// readContents reads and checks the whole file without bbolt, and without its mapping.
+// readContents reads and checks the whole file without bbolt and without a memory mapping.
 func readContents(file io.ReaderAt, size int64) (contents, error) {
 	found := collector{entries: map[string][]byte{}}
 	pages, err := walkPages(file, size, found.visit)
--- a/control/store/crash_test.go
+++ b/control/store/crash_test.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	runFolder = "EIDERWAY_STORE_TEST_FOLDER" // set in the recorded child
-	runSteps  = "EIDERWAY_STORE_TEST_STEPS"  // how many steps of the script it takes
+	runFolder = "EIDERWAY_STORE_TEST_FOLDER" // folder of the recorded child process
+	runSteps  = "EIDERWAY_STORE_TEST_STEPS"  // number of steps of the script that it runs
 
-	newIncarnation = quorum.Incarnation("another") // of those that open what a power loss leaves
+	newIncarnation = quorum.Incarnation("another") // of stores that are opened after a power loss
 	mixesPerPoint  = 12
 )
 
@@ -37,8 +37,8 @@
 	})
 }
 
-// recordedRun is the child: it opens the folder, goes on with the script where the state is, and marks each step that
-// is safe. In the middle it reopens, as after an error.
+// recordedRun is the main function of the child process. It opens the folder, continues the script from the step that the state is
+// at, and marks each step that is durable. In the middle it reopens the store, as after an error.
 func recordedRun() {
 	store, found, err := openAs(runIncarnation, os.Getenv(runFolder))
 	must(err)
@@ -69,27 +69,27 @@
 	return record(t, directory, numbers, runFolder+"="+directory, fmt.Sprintf("%s=%d", runSteps, steps))
 }
 
-// TestPowerLossAtEachOperation loses power after each system call of a recorded run, and expects the state of the last
-// Apply that had returned, or of the one under way.
+// TestPowerLossAtEachOperation simulates a power loss after each system call of a recorded run. The state must be that of the last
+// Apply that had returned, or of the one in progress.
 func TestPowerLossAtEachOperation(t *testing.T) {
 	directory := t.TempDir()
 	recorded := recordScript(t, directory, nil, len(script()))
 	disk := newSimulatedDisk()
 	crash := crashTest{t: t, states: scriptStates(freshState()), mixes: mixesPerPoint, safe: -1}
-	crash.lose(disk, 0)
+	crash.losePower(disk, 0)
 	for index, done := range recorded {
 		disk.apply(done)
-		crash.see(done)
-		crash.lose(disk, index+1)
+		crash.observe(done)
+		crash.losePower(disk, index+1)
 	}
 	if crash.safe != len(script()) {
-		t.Fatalf("the run ended at step %d", crash.safe)
+		t.Fatalf("the recorded run ended at step %d", crash.safe)
 	}
 	t.Logf("%d operations, %d power losses", len(recorded), crash.cases)
 }
 
-// TestPowerLossAfterKill kills the process at an operation, which loses nothing; lets a new process open the folder and go on; and
-// then loses power. What the new process read must have been safe before it was told.
+// TestPowerLossAfterKill kills the process at an operation, which loses no data, lets a new process open the folder and continue, and
+// then simulates a power loss. The state that Open returned to the new process must have been durable.
 func TestPowerLossAfterKill(t *testing.T) {
 	first := recordScript(t, t.TempDir(), nil, 6)
 	kills, cases := 0, 0
@@ -103,14 +103,14 @@
 		}
 		kills++
 		directory := t.TempDir()
-		numbers := disk.lay(t, directory, disk.outcomes(0, 0)[0])
+		numbers := disk.writeTo(t, directory, disk.outcomes(0, 0)[0])
 		second := recordScript(t, directory, numbers, safe+3)
 		crash := crashTest{t: t, states: scriptStates(freshState()), mixes: 3, safe: safe}
 		again := disk.clone()
 		for later, done := range second {
 			again.apply(done)
-			crash.see(done)
-			crash.lose(again, index*len(second)+later)
+			crash.observe(done)
+			crash.losePower(again, index*len(second)+later)
 		}
 		cases += crash.cases
 	}
@@ -120,6 +120,7 @@
 	t.Logf("%d kills, %d power losses", kills, cases)
 }
 
+// stepMarked returns the step that an operation marks, or -1.
 func stepMarked(done operation) int {
 	if done.kind != marked {
 		return -1
@@ -129,35 +130,37 @@
 	return step
 }
 
-// crashTest opens what power losses leave, and compares.
+// crashTest opens the folders that power losses leave, and checks the states.
 type crashTest struct {
 	t      *testing.T
 	states []replication.DurableState
 	mixes  int
-	safe   int // the last step that was marked; -1: the first Open had not returned
+	safe   int // last step that was marked as durable; -1: the first Open had not returned
 	cases  int
 }
 
-// afterLoss is written after each power loss.
+// afterLoss holds the writes that are applied after each power loss.
 var afterLoss = mutate(put("after", "the power loss"), remove("instance/0007"))
 
-func (c *crashTest) see(done operation) {
+// observe notes the step that the operation marks, which must not go back.
+func (c *crashTest) observe(done operation) {
 	if done.kind != marked {
 		return
 	}
 	step := stepMarked(done)
 	if step < c.safe {
-		c.t.Fatalf("the child found step %d after step %d was safe", step, c.safe)
+		c.t.Fatalf("the child found step %d after step %d was durable", step, c.safe)
 	}
 	c.safe = step
 }
 
-func (c *crashTest) lose(disk *simulatedDisk, seed int) {
+// losePower checks each outcome of a power loss in the state of the disk.
+func (c *crashTest) losePower(disk *simulatedDisk, seed int) {
 	c.t.Helper()
 	for variant, left := range disk.outcomes(c.mixes, uint64(seed)) {
 		directory, err := os.MkdirTemp(c.t.TempDir(), "loss")
 		must(err)
-		disk.lay(c.t, directory, left)
+		disk.writeTo(c.t, directory, left)
 		if problem := c.reopen(directory); problem != "" {
 			c.t.Fatalf("operation %d, variant %d: %s", seed, variant, problem)
 		}
@@ -166,7 +169,7 @@
 	}
 }
 
-// reopen opens the folder, writes once more, and opens it again.
+// reopen opens the folder, applies one more transaction, and opens the folder again. It returns a description of the problem, or "".
 func (c *crashTest) reopen(directory string) string {
 	store, found, err := openAs(newIncarnation, directory)
 	if err != nil {
@@ -174,11 +177,11 @@
 	}
 	expected := stateAfter(found, afterLoss)
 	if c.safe < 0 && found.Incarnation == newIncarnation {
-		found.Incarnation = runIncarnation // nobody has heard of the other
+		found.Incarnation = runIncarnation // the first incarnation has not sent anything yet
 	}
 	step := stepOf(found, c.states)
 	if step != max(c.safe, 0) && step != c.safe+1 {
-		return fmt.Sprintf("step %d was safe, and step %d came back: %s, stamp %s, %d entries", c.safe, step, found.Incarnation, found.Stamp, len(found.Entries))
+		return fmt.Sprintf("step %d was durable, but step %d was read: %s, stamp %s, %d entries", c.safe, step, found.Incarnation, found.Stamp, len(found.Entries))
 	}
 	must(store.Apply(afterLoss))
 	must(store.Close())
@@ -186,13 +189,13 @@
 	must(err)
 	must(store.Close())
 	if !reflect.DeepEqual(again, expected) {
-		return "what was written after the power loss did not come back"
+		return "the transaction after the power loss was not read back"
 	}
 	return ""
 }
 
-// TestSyncsOfApply counts, in the recorded run, the syncs and bytes of each Apply.
-func TestSyncsOfApply(t *testing.T) {
+// TestApplyTakesTwoSyncs counts the syncs and bytes of each Apply in a recorded run. An Apply that doesn't grow the file takes two syncs.
+func TestApplyTakesTwoSyncs(t *testing.T) {
 	recorded := recordScript(t, t.TempDir(), nil, len(script()))
 	step, syncs, bytes, grown := -1, 0, 0, false
 	for _, done := range recorded {
--- a/control/store/damage_test.go
+++ b/control/store/damage_test.go
@@ -17,8 +17,7 @@
 	"eiderway/control/replication"
 )
 
-// soundFile makes a closed file with some pages of each kind, and returns its bytes and the states after its last two
-// transactions.
+// soundFile creates a file with some pages of each kind, and returns its content and the states after its last two transactions.
 func soundFile(t testing.TB) (file []byte, before, last replication.DurableState) {
 	t.Helper()
 	is := is.New(t)
@@ -35,7 +34,7 @@
 	return file, before, found
 }
 
-// openBytes opens a folder that holds these bytes as its file.
+// openBytes opens a store in a folder whose file has the given content.
 func openBytes(t *testing.T, file []byte) (string, replication.DurableState, error) {
 	t.Helper()
 	directory := t.TempDir()
@@ -49,57 +48,58 @@
 	return directory, found, err
 }
 
+// isNew reports whether a state is that of a new incarnation that may not found a core.
 func isNew(found replication.DurableState) bool {
 	return found.Incarnation == "new" && !found.Voter.MayFound && len(found.Entries) == 0
 }
 
-// expectSetAside checks that the damaged bytes were kept.
+// expectSetAside checks that the damaged file was kept unchanged.
 func expectSetAside(t *testing.T, directory string, file []byte) {
 	t.Helper()
 	kept, err := os.ReadFile(filepath.Join(directory, damagedName+"-1"))
 	if err != nil || !bytes.Equal(kept, file) {
-		t.Fatalf("the damaged file was not kept as it was: %v", err)
+		t.Fatalf("the damaged file was not kept unchanged: %v", err)
 	}
 }
 
-// TestDamageIsNeverUsed changes bytes anywhere in a file. What comes back is the exact state (the bytes weren't in
-// use), or a new incarnation. Only damage to the newest meta page can't be told from a torn write: then it is the state
+// TestDamageIsNeverUsed changes bytes anywhere in a file. Open must return the exact state, as it does when the bytes are not in
+// use, or a new incarnation. Only damage to the newest meta page can't be told from a torn write: then Open may return the state
 // before the last transaction.
 func TestDamageIsNeverUsed(t *testing.T) {
 	file, before, last := soundFile(t)
 	newest := newestMetaPage(t, file)
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	used, setAside := 0, 0
 	for range 1500 {
-		harmed := bytes.Clone(file)
-		position := chance.IntN(len(file))
-		switch chance.IntN(3) {
+		damagedFile := bytes.Clone(file)
+		position := random.IntN(len(file))
+		switch random.IntN(3) {
 		case 0:
-			harmed[position] ^= 1 << chance.IntN(8)
+			damagedFile[position] ^= 1 << random.IntN(8)
 		case 1:
-			copy(harmed[position/512*512:], make([]byte, 512))
+			copy(damagedFile[position/512*512:], make([]byte, 512))
 		case 2:
-			from := chance.IntN(len(file) / pageSize)
-			copy(harmed[position/pageSize*pageSize:], file[from*pageSize:(from+1)*pageSize])
+			from := random.IntN(len(file) / pageSize)
+			copy(damagedFile[position/pageSize*pageSize:], file[from*pageSize:(from+1)*pageSize])
 		}
-		directory, found, err := openBytes(t, harmed)
+		directory, found, err := openBytes(t, damagedFile)
 		if err != nil {
 			t.Fatalf("position %d: %v", position, err)
 		}
 		switch {
 		case isNew(found):
 			setAside++
-			expectSetAside(t, directory, harmed)
+			expectSetAside(t, directory, damagedFile)
 		case stepOf(found, []replication.DurableState{last}) == 0:
 			used++
 		case position/pageSize == newest && stepOf(found, []replication.DurableState{before}) == 0:
 		default:
-			t.Fatalf("position %d: a damaged state came back, stamp %s, %d entries", position, found.Stamp, len(found.Entries))
+			t.Fatalf("position %d: a damaged state was used, stamp %s, %d entries", position, found.Stamp, len(found.Entries))
 		}
 	}
-	t.Logf("unharmed %d, set aside %d", used, setAside)
+	t.Logf("intact %d, set aside %d", used, setAside)
 	if used < 50 || setAside < 50 {
-		t.Fatal("the damage is one-sided")
+		t.Fatal("too few files were intact, or too few were set aside")
 	}
 }
 
@@ -119,20 +119,20 @@
 	return 0
 }
 
-func TestForeignBytes(t *testing.T) {
+func TestForeignFileIsSetAside(t *testing.T) {
 	is := is.New(t)
 	file, _, _ := soundFile(t)
-	chance := rand.NewChaCha8([32]byte{7})
+	random := rand.NewChaCha8([32]byte{7})
 	noise := make([]byte, 64<<10)
-	_, _ = chance.Read(noise)
+	_, _ = random.Read(noise)
 	behindSoundMeta := append(bytes.Clone(file[:2*pageSize]), noise...)
 	for name, foreign := range map[string][]byte{
-		"nothing":       {},
+		"empty":         {},
 		"text":          []byte("not a control state"),
 		"noise":         noise,
 		"noisy pages":   behindSoundMeta,
 		"zeros":         make([]byte, len(file)),
-		"cut":           file[:len(file)/2],
+		"truncated":     file[:len(file)/2],
 		"only metas":    file[:2*pageSize],
 		"other buckets": otherDatabase(t),
 		"fresh bbolt":   freshDatabase(t),
@@ -146,8 +146,8 @@
 	}
 }
 
-// FuzzReadContents changes bytes behind the meta pages. The reader must return, and what it lets pass must be the exact
-// state, and do bbolt no harm.
+// FuzzReadContents changes bytes behind the meta pages. The reader must terminate. What it accepts must be the exact state, and bbolt
+// must be able to open it.
 func FuzzReadContents(f *testing.F) {
 	f.Add([]byte{}, uint32(0))
 	f.Add([]byte{2, 0, 1, 0, 0xff}, uint32(2*pageSize+8))
@@ -164,10 +164,10 @@
 			return
 		}
 		if stepOf(found.durable(), []replication.DurableState{last}) != 0 {
-			t.Fatal("a damaged state was let pass")
+			t.Fatal("a damaged state was accepted")
 		}
 		if _, opened, err := openBytes(t, file); err != nil || isNew(opened) {
-			t.Fatalf("what the reader let pass could not be opened: %v", err)
+			t.Fatalf("a file that the reader accepted could not be opened: %v", err)
 		}
 	})
 }
@@ -230,13 +230,13 @@
 func TestDamagedStateMayNotFoundAgain(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
-	// A power loss between the setting aside and the new file.
+	// As after a power loss between the renaming of the damaged file and the creation of a new one.
 	is.NoErr(os.WriteFile(filepath.Join(directory, damagedName+"-1"), []byte("x"), fileMode))
 	store, found, err := Open(directory, Options{Log: silent(), FirstStart: true})
 	is.NoErr(err)
 	is.True(!found.Voter.MayFound)
 	is.NoErr(store.Close())
-	// A second damaged file takes another name.
+	// A second damaged file is kept under another name.
 	is.NoErr(os.WriteFile(filepath.Join(directory, FileName), []byte("y"), fileMode))
 	store, again, err := Open(directory, Options{Log: silent(), FirstStart: true})
 	is.NoErr(err)
@@ -245,7 +245,7 @@
 	is.Equal(names(t, directory), []string{FileName, damagedName + "-1", damagedName + "-2"})
 }
 
-func TestUnfinishedFirstStart(t *testing.T) {
+func TestUnfinishedFirstStartIsRepeated(t *testing.T) {
 	is := is.New(t)
 	for _, left := range [][]byte{{}, []byte("half"), freshDatabase(t), otherDatabase(t)} {
 		directory := t.TempDir()
@@ -253,9 +253,9 @@
 		log, lines := test.NewNullLogger()
 		store, found, err := Open(directory, Options{Log: log, FirstStart: true})
 		is.NoErr(err)
-		is.True(found.Voter.MayFound) // nothing was ever said from the unfinished file
+		is.True(found.Voter.MayFound) // the unfinished file was never used
 		is.NoErr(store.Close())
-		is.Equal(names(t, directory), []string{FileName, setUnfinishedOff + "-1"})
+		is.Equal(names(t, directory), []string{FileName, abandonedName + "-1"})
 		is.Equal(len(lines.AllEntries()), 1)
 		is.Equal(lines.LastEntry().Level, logrus.WarnLevel)
 	}
@@ -277,12 +277,12 @@
 	is.Equal(names(t, directory), []string{FileName})
 }
 
-// brokenReader is a disk that refuses reads.
+// brokenReader is a disk on which each read fails.
 type brokenReader struct{}
 
 func (brokenReader) ReadAt([]byte, int64) (int, error) { return 0, errors.New("input/output error") }
 
-func TestRefusedReadIsNotDamage(t *testing.T) {
+func TestFailedReadIsNotReportedAsDamage(t *testing.T) {
 	is := is.New(t)
 	_, err := readContents(brokenReader{}, 1<<20)
 	is.True(err != nil)
--- a/control/store/refused_test.go
+++ b/control/store/diskfault_test.go
@@ -21,14 +21,14 @@
 	"eiderway/control/replication"
 )
 
-// writeHook returns the place of bbolt's own hook for tests, through which all its writes go.
+// writeHook returns a pointer to bbolt's internal hook for tests, through which it does all its writes.
 func writeHook(database *bbolt.DB) *func([]byte, int64) (int, error) {
 	field := reflect.ValueOf(database).Elem().FieldByName("ops").FieldByName("writeAt")
 	return (*func([]byte, int64) (int, error))(unsafe.Pointer(field.UnsafeAddr()))
 }
 
-// replaceDescriptor lets the file's descriptor lead to a device: /dev/full refuses writes for want of space, and
-// /dev/null refuses syncs.
+// replaceDescriptor makes the descriptor of the file refer to a device: /dev/full fails writes with "no space left", and /dev/null
+// fails syncs.
 func replaceDescriptor(t *testing.T, file *os.File, device string) {
 	t.Helper()
 	opened, err := os.OpenFile(device, os.O_RDWR, 0)
@@ -37,42 +37,42 @@
 	must(syscall.Dup3(int(opened.Fd()), int(file.Fd()), 0))
 }
 
-// refusal is one way in which a disk fails a transaction.
-type refusal struct {
+// fault is one way in which a disk fails a transaction.
+type fault struct {
 	name   string
-	device string // that takes the place of the file ("": none), after
-	writes int    // writes that still succeed
-	torn   bool   // half of the failing write is done
+	device string // replaces the file ("": none) after the successful writes
+	writes int    // number of writes that succeed first
+	isTorn bool   // half of the failing write is done
 }
 
-// TestFailedApply refuses the writes and the syncs of a transaction one after the other. Reopen returns the state before it or
-// after it, as a whole, and the store goes on.
-func TestFailedApply(t *testing.T) {
-	refusals := []refusal{{name: "full", device: "/dev/full"}}
+// TestReopenAfterFailedApply fails each write and each sync of a transaction. Reopen must return the complete state before or after
+// the transaction, and the store must be usable again.
+func TestReopenAfterFailedApply(t *testing.T) {
+	faults := []fault{{name: "disk full", device: "/dev/full"}}
 	for writes := range 3 {
-		refusals = append(refusals,
-			refusal{name: "full after some", device: "/dev/full", writes: writes},
-			refusal{name: "sync refused", device: "/dev/null", writes: writes + 1},
-			refusal{name: "write refused", writes: writes},
-			refusal{name: "write torn", writes: writes, torn: true},
+		faults = append(faults,
+			fault{name: "disk full after some writes", device: "/dev/full", writes: writes},
+			fault{name: "sync fails", device: "/dev/null", writes: writes + 1},
+			fault{name: "write fails", writes: writes},
+			fault{name: "write is torn", writes: writes, isTorn: true},
 		)
 	}
 	failed := 0
-	for _, refused := range refusals {
+	for _, injected := range faults {
 		for step, writes := range script()[:6] {
-			if failApply(t, refused, step, writes) {
+			if failApply(t, injected, step, writes) {
 				failed++
 			}
 		}
 	}
-	t.Logf("%d of %d transactions failed", failed, len(refusals)*6)
-	if failed < len(refusals)*4 {
+	t.Logf("%d of %d transactions failed", failed, len(faults)*6)
+	if failed < len(faults)*4 {
 		t.Fatal("too few transactions failed")
 	}
 }
 
-// failApply tells whether the refusal made Apply fail.
-func failApply(t *testing.T, refused refusal, step int, writes []replication.Write) bool {
+// failApply runs one step with the fault, and reports whether it made Apply fail.
+func failApply(t *testing.T, injected fault, step int, writes []replication.Write) bool {
 	t.Helper()
 	is := is.New(t)
 	directory := t.TempDir()
@@ -87,9 +87,9 @@
 		is.NoErr(store.Apply(earlier))
 		state = stateAfter(state, earlier)
 	}
-	refused.arm(t, database, file)
+	injected.arm(t, database, file)
 	err = store.Apply(writes)
-	if err == nil { // the transaction has fewer writes than that
+	if err == nil { // the transaction has fewer writes than succeed first
 		is.NoErr(store.Close())
 		return false
 	}
@@ -97,7 +97,7 @@
 	found, err := store.Reopen()
 	is.NoErr(err)
 	if !reflect.DeepEqual(found, state) && !reflect.DeepEqual(found, stateAfter(state, writes)) {
-		t.Fatalf("%s after %d, step %d: neither the state before nor after", refused.name, refused.writes, step)
+		t.Fatalf("%s after %d writes, step %d: the state is neither the one before nor the one after", injected.name, injected.writes, step)
 	}
 	is.NoErr(store.Apply(writes))
 	is.NoErr(store.Close())
@@ -108,39 +108,39 @@
 	return true
 }
 
-// arm lets the disk fail from a certain write on.
-func (r refusal) arm(t *testing.T, database *bbolt.DB, file *os.File) {
+// arm makes the disk fail after the writes that succeed first.
+func (f fault) arm(t *testing.T, database *bbolt.DB, file *os.File) {
 	t.Helper()
 	hook := writeHook(database)
-	real, left := *hook, r.writes
-	if r.device != "" && left == 0 {
-		replaceDescriptor(t, file, r.device)
+	writeAt, left := *hook, f.writes
+	if f.device != "" && left == 0 {
+		replaceDescriptor(t, file, f.device)
 	}
 	*hook = func(data []byte, offset int64) (int, error) {
-		if left == 0 && r.device == "" {
+		if left == 0 && f.device == "" {
 			done := 0
-			if r.torn {
-				done, _ = real(data[:len(data)/2], offset)
+			if f.isTorn {
+				done, _ = writeAt(data[:len(data)/2], offset)
 			}
 			return done, syscall.EIO
 		}
-		done, err := real(data, offset)
+		done, err := writeAt(data, offset)
 		left--
-		if left == 0 && r.device != "" {
-			replaceDescriptor(t, file, r.device)
+		if left == 0 && f.device != "" {
+			replaceDescriptor(t, file, f.device)
 		}
 		return done, err
 	}
 }
 
-func TestReopenWaitsForTheDisk(t *testing.T) {
+func TestReopenFailsUntilFileCanBeWritten(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
 	store, first, err := Open(directory, Options{Log: silent()})
 	is.NoErr(err)
 	is.NoErr(store.Apply(mutate(put("a", "1"))))
 	store.release()
-	// A folder in the place of the new file: it can't be made.
+	// A folder at the path of the new file, so that the file can't be created.
 	obstacle := filepath.Join(directory, unfinishedName)
 	is.NoErr(os.MkdirAll(filepath.Join(obstacle, "full"), folderMode))
 	_, err = store.Reopen()
@@ -164,47 +164,47 @@
 	is.NoErr(os.WriteFile(store.path(), []byte("damaged"), fileMode))
 	_, err = store.Reopen()
 	is.True(IsDamage(err))
-	is.Equal(names(t, directory), []string{FileName}) // left to the next start
+	is.Equal(names(t, directory), []string{FileName}) // the file is left to the next start
 	is.NoErr(store.Close())
 }
 
-func TestRefusedMutation(t *testing.T) {
+func TestInvalidMutationRollsBackTheTransaction(t *testing.T) {
 	is := is.New(t)
 	store, first, err := Open(t.TempDir(), Options{Log: silent()})
 	is.NoErr(err)
 	is.True(store.Apply(mutate(put("a", "1"), put("", "no key"))) != nil)
 	found, err := store.Reopen()
 	is.NoErr(err)
-	is.Equal(found, first) // not even a part
+	is.Equal(found, first) // no part of the transaction
 	is.NoErr(store.Close())
 }
 
-// TestStaleMapping puts a copy of the file in the place of bbolt's mapping, as on a system whose mappings do not show
-// what is written later.
+// TestStaleMapping replaces bbolt's memory mapping by a copy of the file, as on a system whose mappings do not show later writes. The
+// store must still read its writes.
 func TestStaleMapping(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
 	log, lines := test.NewNullLogger()
-	freeze := func(database *bbolt.DB, file *os.File) {
+	replaceMapping := func(database *bbolt.DB, file *os.File) {
 		info, err := file.Stat()
 		must(err)
-		held := make([]byte, info.Size())
-		_, err = file.ReadAt(held, 0)
+		content := make([]byte, info.Size())
+		_, err = file.ReadAt(content, 0)
 		must(err)
 		address := database.Info().Data
-		_, _, failure := syscall.Syscall6(syscall.SYS_MMAP, address, mapBytes, syscall.PROT_READ|syscall.PROT_WRITE,
+		_, _, failure := syscall.Syscall6(syscall.SYS_MMAP, address, initialMapBytes, syscall.PROT_READ|syscall.PROT_WRITE,
 			syscall.MAP_PRIVATE|syscall.MAP_ANON|syscall.MAP_FIXED, ^uintptr(0), 0)
 		is.Equal(failure, syscall.Errno(0))
-		copy(unsafe.Slice((*byte)(*(*unsafe.Pointer)(unsafe.Pointer(&address))), mapBytes), held)
+		copy(unsafe.Slice((*byte)(*(*unsafe.Pointer)(unsafe.Pointer(&address))), initialMapBytes), content)
 	}
-	store, state, err := Open(directory, Options{Log: log, opened: freeze})
+	store, state, err := Open(directory, Options{Log: log, opened: replaceMapping})
 	is.NoErr(err)
 	for _, writes := range script() {
 		is.NoErr(store.Apply(writes))
 		state = stateAfter(state, writes)
 	}
 	is.NoErr(store.Close())
-	is.Equal(len(lines.AllEntries()), 1) // said once
+	is.Equal(len(lines.AllEntries()), 1) // logged once
 	is.Equal(lines.LastEntry().Level, logrus.WarnLevel)
 	store, found, err := Open(directory, Options{Log: silent()})
 	is.NoErr(err)
@@ -212,16 +212,16 @@
 	is.NoErr(store.Close())
 }
 
-// BenchmarkApply writes the record of one instance, and the stamp, to a state of usual size.
+// BenchmarkApply writes the record of one instance and the stamp to a state of usual size.
 func BenchmarkApply(b *testing.B) {
 	written, calls := 0, 0
 	store, _, err := Open(b.TempDir(), Options{Log: silent(), opened: func(database *bbolt.DB, _ *os.File) {
 		hook := writeHook(database)
-		real := *hook
+		writeAt := *hook
 		*hook = func(data []byte, offset int64) (int, error) {
 			calls++
 			written += len(data)
-			return real(data, offset)
+			return writeAt(data, offset)
 		}
 	}})
 	must(err)
--- a/control/store/dump.go
+++ b/control/store/dump.go
@@ -15,12 +15,12 @@
 
 // dumpHead is the first line of a dump.
 type dumpHead struct {
-	Format  int    // version of the dump, the same as the file's
-	HeadSum uint64 // over the rest of the line
+	Format  int    // version of the dump, equal to that of the file
+	HeadSum uint64 // checksum of the rest of the line
 	head
 }
 
-// dumpEntry is a later line. What isn't text is written as bytes (base64 in JSON).
+// dumpEntry is each further line. A key or value that is not UTF-8 is written as bytes (base64 in JSON).
 type dumpEntry struct {
 	Key        string `json:",omitempty"`
 	KeyBytes   []byte `json:",omitempty"`
@@ -46,7 +46,7 @@
 func (e dumpEntry) key() string   { return e.Key + string(e.KeyBytes) }
 func (e dumpEntry) value() []byte { return append([]byte(e.Value), e.ValueBytes...) }
 
-// Dump writes all that a file holds as lines of JSON: the controller's own record, then each entry, sorted by key.
+// Dump writes the content of a file as lines of JSON: the controller's own record, then the entries sorted by key.
 func Dump(path string, out io.Writer) error {
 	found, _, err := readShared(path)
 	if err != nil {
@@ -71,13 +71,13 @@
 	return nil
 }
 
-// Restore makes the file at the path, which must not exist, from a dump. The dump must be whole.
+// Restore creates the file at the path, which must not exist, from a complete dump.
 //
-// The file speaks for the incarnation of the dump. It must not be used if that controller has run since the dump was
-// made: it would have forgotten what it has said.
+// The file belongs to the incarnation of the dump. It must not be used if that controller has run since the dump was made: the
+// controller would have lost the promises and acknowledgements that it has sent since.
 func Restore(dump io.Reader, path string) error {
 	if filepath.Base(path) != FileName {
-		return eris.Errorf("the file of a control state is called %s, not %s", FileName, filepath.Base(path))
+		return eris.Errorf("the file of a control state must be named %s, not %s", FileName, filepath.Base(path))
 	}
 	if _, err := os.Stat(path); err == nil {
 		return eris.Wrap(ErrExists, path)
@@ -103,7 +103,7 @@
 		if err := decoder.Decode(&entry); err != nil {
 			return contents{}, eris.Wrap(err, "read an entry of the dump")
 		}
-		if _, twice := whole.entries[entry.key()]; twice {
+		if _, duplicate := whole.entries[entry.key()]; duplicate {
 			return contents{}, eris.Errorf("the dump has entry %q twice", entry.key())
 		}
 		whole.entries[entry.key()] = entry.value()
@@ -117,18 +117,19 @@
 		return head{}, eris.Wrap(err, "read the head of the dump")
 	}
 	if first.Format != formatVersion {
-		return head{}, eris.Errorf("the dump has format %d, known is %d", first.Format, formatVersion)
+		return head{}, eris.Errorf("the dump has format %d, this program reads format %d", first.Format, formatVersion)
 	}
 	sum, err := headSum(first.head)
 	if err != nil {
 		return head{}, err
 	}
 	if sum != first.HeadSum || first.Incarnation == "" {
-		return head{}, eris.New("the head of the dump does not fit its sum")
+		return head{}, eris.New("the head of the dump does not match its checksum")
 	}
 	return first.head, nil
 }
 
+// headSum returns the checksum of the head of a dump.
 func headSum(h head) (uint64, error) {
 	text, err := json.Marshal(h)
 	return entrySum("", text), eris.Wrap(err, "encode the head of the dump")
--- a/control/store/dump_test.go
+++ b/control/store/dump_test.go
@@ -14,7 +14,7 @@
 	"eiderway/control/replication"
 )
 
-// dumped makes a file with entries that are hard to write as text, and returns its path, its state and its dump.
+// dumped creates a file with entries that are hard to represent as text, and returns its path, its state and its dump.
 func dumped(t *testing.T) (string, replication.DurableState, string) {
 	t.Helper()
 	is := is.New(t)
@@ -40,14 +40,14 @@
 func TestDumpAndRestore(t *testing.T) {
 	is := is.New(t)
 	path, state, dump := dumped(t)
-	is.True(strings.Contains(dump, `{"Key":"große","Value":"schlüssel"}`)) // readable
+	is.True(strings.Contains(dump, `{"Key":"große","Value":"schlüssel"}`)) // readable text
 
 	directory := t.TempDir()
 	restored := filepath.Join(directory, FileName)
 	is.NoErr(Restore(strings.NewReader(dump), restored))
 	store, found, err := Open(directory, Options{Log: silent()})
 	is.NoErr(err)
-	state.Voter.Restored = true // what was acknowledged since is not in a dump
+	state.Voter.Restored = true // a dump lacks what was acknowledged after it was made
 	is.Equal(found, state)
 	is.NoErr(store.Apply(mutate(put("more", "x"))))
 	is.NoErr(store.Close())
@@ -56,28 +56,28 @@
 	is.True(Restore(strings.NewReader(dump), filepath.Join(directory, "other.db")) != nil)
 }
 
-func TestDumpMustBeWhole(t *testing.T) {
+func TestIncompleteOrChangedDumpIsRejected(t *testing.T) {
 	is := is.New(t)
 	_, _, dump := dumped(t)
 	lines := strings.SplitAfter(strings.TrimSuffix(dump, "\n"), "\n")
-	for name, harmed := range map[string]string{
-		"nothing":        "",
-		"a line less":    strings.Join(lines[:len(lines)-1], ""),
-		"half a line":    dump[:len(dump)-5],
-		"a line twice":   dump + lines[len(lines)-1],
+	for name, damagedDump := range map[string]string{
+		"empty":          "",
+		"missing line":   strings.Join(lines[:len(lines)-1], ""),
+		"truncated line": dump[:len(dump)-5],
+		"duplicate line": dump + lines[len(lines)-1],
 		"changed":        strings.Replace(dump, "schlüssel", "schlussel", 1),
-		"newer":          strings.Replace(dump, `"Format":1`, `"Format":2`, 1),
+		"newer format":   strings.Replace(dump, `"Format":1`, `"Format":2`, 1),
 		"no format":      strings.Replace(dump, `"Format":1,`, ``, 1),
 		"other promise":  strings.Replace(dump, `"Promised":7`, `"Promised":6`, 1),
-		"no identity":    strings.Replace(dump, `"Incarnation":"incarnation-1"`, `"Incarnation":""`, 1),
-		"something more": dump + "x",
+		"no incarnation": strings.Replace(dump, `"Incarnation":"incarnation-1"`, `"Incarnation":""`, 1),
+		"trailing data":  dump + "x",
 	} {
 		path := filepath.Join(t.TempDir(), FileName)
-		if err := Restore(strings.NewReader(harmed), path); err == nil {
-			t.Errorf("%s: restored", name)
+		if err := Restore(strings.NewReader(damagedDump), path); err == nil {
+			t.Errorf("%s: the dump was restored", name)
 		}
 		_, err := Check(path)
-		is.True(err != nil) // nothing was left
+		is.True(err != nil) // no file was left
 	}
 }
 
--- a/control/store/file.go
+++ b/control/store/file.go
@@ -13,30 +13,30 @@
 	"go.etcd.io/bbolt"
 )
 
-// Names in the folder.
+// Names of files in the folder.
 const (
-	FileName         = "control.db"            // the state
-	unfinishedName   = "control.db.new"        // a file that is being made; nobody has spoken from it
-	damagedName      = "control.db.damaged"    // and a number: a state that couldn't be read
-	setUnfinishedOff = "control.db.unfinished" // and a number: left over from a power loss while it was made
+	FileName       = "control.db"            // the state
+	unfinishedName = "control.db.new"        // a file that is being written and has never been used
+	damagedName    = "control.db.damaged"    // + number: a damaged state
+	abandonedName  = "control.db.unfinished" // + number: left by a power loss while it was written
 )
 
 const (
 	fileMode   = 0o600
 	folderMode = 0o700
 
-	// lockWait is how long a process that is just ending may still hold the file.
-	lockWait = 2 * time.Second
-	// lockRetry is the pause between two attempts to lock the file.
-	lockRetry = 50 * time.Millisecond
+	// lockTimeout allows for a process that is just ending and still holds the lock.
+	lockTimeout = 2 * time.Second
+	// lockRetryInterval is the pause between two attempts to lock the file.
+	lockRetryInterval = 50 * time.Millisecond
 
-	// mapBytes is mapped at once, so that bbolt maps anew only for a state that has grown far beyond the usual.
-	mapBytes = 4 << 20
-	// growBytes is what the file grows by, each time with one more sync.
+	// initialMapBytes is the initial size of the memory mapping. bbolt maps the file again only for a far larger state than usual.
+	initialMapBytes = 4 << 20
+	// growBytes is the step by which the file grows. Each growth costs one more sync.
 	growBytes = 64 << 10
 )
 
-// openLocked opens the file if it is there, and locks it.
+// openLocked opens and locks an existing file.
 func openLocked(path string, flags, lock int) (*os.File, error) {
 	file, err := os.OpenFile(path, flags, fileMode)
 	if err != nil {
@@ -48,8 +48,9 @@
 	return file, nil
 }
 
+// lockFile locks the file, and waits up to lockTimeout for another process to unlock it.
 func lockFile(file *os.File, lock int) error {
-	for waited := time.Duration(0); ; waited += lockRetry {
+	for waited := time.Duration(0); ; waited += lockRetryInterval {
 		err := syscall.Flock(int(file.Fd()), lock|syscall.LOCK_NB)
 		if err == nil {
 			return nil
@@ -57,10 +58,10 @@
 		if !errors.Is(err, syscall.EWOULDBLOCK) {
 			return eris.Wrapf(err, "lock %s", file.Name())
 		}
-		if waited >= lockWait {
+		if waited >= lockTimeout {
 			return eris.Wrap(ErrInUse, file.Name())
 		}
-		time.Sleep(lockRetry)
+		time.Sleep(lockRetryInterval)
 	}
 }
 
@@ -73,12 +74,12 @@
 	return readContents(file, info.Size())
 }
 
-// openDatabase opens a file for writing. If file is nil, it is opened (and made) by its path.
+// openDatabase opens a file for writing. If file is nil, bbolt opens the path, and creates the file if needed.
 func openDatabase(path string, file *os.File, options bbolt.Options) (*bbolt.DB, error) {
-	options.Timeout = lockWait
+	options.Timeout = lockTimeout
 	options.PageSize = pageSize
-	options.InitialMmapSize = mapBytes
-	options.NoFreelistSync = true // the list is found again by the walk at the start
+	options.InitialMmapSize = initialMapBytes
+	options.NoFreelistSync = true // bbolt rebuilds the freelist from the pages when it opens the file
 	options.FreelistType = bbolt.FreelistMapType
 	options.NoStatistics = true
 	if file != nil {
@@ -92,24 +93,24 @@
 	return database, nil
 }
 
-// writeFile makes a file of these contents, under another name first. It has its name, for good, when writeFile
-// returns nil.
+// writeFile writes the contents to a file under a temporary name, and renames it. Once writeFile has returned nil, the file and its
+// name are durable.
 func writeFile(directory string, whole contents) error {
 	unfinished := filepath.Join(directory, unfinishedName)
 	if err := os.Remove(unfinished); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return eris.Wrap(err, "remove an unfinished control state")
 	}
-	if err := fillFile(unfinished, whole); err != nil {
+	if err := createFile(unfinished, whole); err != nil {
 		return err
 	}
 	if err := os.Rename(unfinished, filepath.Join(directory, FileName)); err != nil {
-		return eris.Wrap(err, "name the control state")
+		return eris.Wrap(err, "rename the new control state")
 	}
 	return syncFolder(directory)
 }
 
-// fillFile writes a whole file, synced once: until it has its name, nobody reads it.
-func fillFile(path string, whole contents) error {
+// createFile writes a new file with a single sync at the end: nobody reads it before it is renamed.
+func createFile(path string, whole contents) error {
 	database, err := openDatabase(path, nil, bbolt.Options{NoSync: true, NoGrowSync: true})
 	if err != nil {
 		return err
@@ -120,10 +121,10 @@
 	if err == nil {
 		err = database.Sync()
 	}
-	return eris.Wrap(errors.Join(err, database.Close()), "make a control state")
+	return eris.Wrap(errors.Join(err, database.Close()), "create a control state")
 }
 
-// syncFolder makes new, changed and removed names last.
+// syncFolder makes created, renamed and removed file names durable.
 func syncFolder(directory string) error {
 	folder, err := os.Open(directory)
 	if err != nil {
@@ -132,10 +133,10 @@
 	return eris.Wrap(errors.Join(folder.Sync(), folder.Close()), "sync the folder of the control state")
 }
 
-// setAside gives a file a name under which it is kept and not read, for good, and returns that name.
-func setAside(directory, name, asideName string) (string, error) {
+// setAside renames a file so that it is kept but not read, and returns the new path. The new name is durable.
+func setAside(directory, name, newName string) (string, error) {
 	for number := 1; ; number++ {
-		aside := filepath.Join(directory, fmt.Sprintf("%s-%d", asideName, number))
+		aside := filepath.Join(directory, fmt.Sprintf("%s-%d", newName, number))
 		_, err := os.Stat(aside)
 		if err == nil {
 			continue
@@ -150,7 +151,7 @@
 	}
 }
 
-// hasDamaged tells whether a state has been set aside as damaged here before.
+// hasDamaged reports whether a damaged state was set aside in this directory before.
 func hasDamaged(directory string) (bool, error) {
 	entries, err := os.ReadDir(directory)
 	if err != nil {
--- a/control/store/mode_test.go
+++ b/control/store/mode_test.go
@@ -11,7 +11,7 @@
 	"eiderway/control/store"
 )
 
-// The state holds clients' keys, so nobody but its owner may read it, whatever the umask.
+// The state holds clients' keys, so only its owner may read it, whatever the umask.
 func TestStateIsReadableByItsOwnerOnly(t *testing.T) {
 	is := is.New(t)
 	before := syscall.Umask(0)
@@ -26,7 +26,7 @@
 	for _, entry := range entries {
 		info, err := entry.Info()
 		is.NoErr(err)
-		is.Equal(info.Mode().Perm(), os.FileMode(0o600)) // of each file
+		is.Equal(info.Mode().Perm(), os.FileMode(0o600)) // each file
 	}
 	for _, folder := range []string{directory, filepath.Dir(directory)} {
 		info, err := os.Stat(folder)
--- a/control/store/pages.go
+++ b/control/store/pages.go
@@ -10,14 +10,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// The layout of a bbolt file (its format 2, in use since 2013).
+// Layout of a bbolt file (format version 2, in use since 2013).
 const (
-	pageSize       = 4096 // fixed, so that a file doesn't depend on the machine
-	pageHeaderSize = 16
-	elementSize    = 16 // of branch and leaf pages alike
-	bucketSize     = 16
-	metaSize       = 64
-	metaSummed     = 56 // bytes of a meta that its checksum covers
+	pageSize        = 4096 // fixed, because bbolt's default depends on the machine
+	pageHeaderSize  = 16
+	elementSize     = 16 // of branch and leaf pages
+	bucketSize      = 16
+	metaSize        = 64
+	metaChecksummed = 56 // number of bytes that the checksum of a meta page covers
 
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
@@ -30,31 +30,31 @@
 	noFreelist = ^uint64(0)
 )
 
-// meta is the part of a bbolt meta page that matters here.
+// meta holds the fields of a bbolt meta page that are used here.
 type meta struct {
 	root        uint64
 	freelist    uint64
-	pages       uint64 // all pages in use are below
+	pages       uint64 // all pages in use have lower ids
 	transaction uint64
 }
 
-// visitor gets each key and value of the file. Both are only valid during the call.
+// visitor is called for each key and value of the file. Both are only valid during the call.
 type visitor func(bucket, key string, value []byte) error
 
-// pageReader walks the pages of a bbolt file without trusting them.
+// pageReader walks the pages of a bbolt file and checks everything that it reads.
 type pageReader struct {
 	file    io.ReaderAt
-	limit   uint64 // pages are below
+	limit   uint64 // all page ids must be lower
 	used    map[uint64]bool
 	visitor visitor
 }
 
-// keyRange bounds the keys of a page. An empty upper bound is none.
+// keyRange is the half-open range of the keys of a page. An empty upper bound means none.
 type keyRange struct {
 	from, below []byte
 }
 
-// walkPages checks the structure of the whole file and visits all it holds. It returns the number of pages in use.
+// walkPages checks the structure of the whole file and visits each key and value. It returns the number of pages in use.
 func walkPages(file io.ReaderAt, size int64, visit visitor) (int, error) {
 	newest, err := readNewestMeta(file)
 	if err != nil {
@@ -75,26 +75,27 @@
 	return len(reader.used), nil
 }
 
-// readNewestMeta returns the meta that bbolt will go by. One of the two may be torn.
+// readNewestMeta returns the meta page that bbolt will use: the newest valid one. A torn write may have left one of the two invalid.
 func readNewestMeta(file io.ReaderAt) (meta, error) {
 	var newest meta
 	found := false
 	for page := range int64(2) {
-		candidate, sound, err := readMeta(file, page)
+		candidate, valid, err := readMeta(file, page)
 		if err != nil {
 			return meta{}, err
 		}
-		if sound && (!found || candidate.transaction > newest.transaction) {
+		if valid && (!found || candidate.transaction > newest.transaction) {
 			newest = candidate
 			found = true
 		}
 	}
 	if !found {
-		return meta{}, damaged("both meta pages are unreadable")
+		return meta{}, damaged("both meta pages are invalid")
 	}
 	return newest, nil
 }
 
+// readMeta reads a meta page, and reports whether it is valid.
 func readMeta(file io.ReaderAt, page int64) (meta, bool, error) {
 	var buffer [pageHeaderSize + metaSize]byte
 	if err := readFull(file, buffer[:], page*pageSize); err != nil {
@@ -102,49 +103,49 @@
 	}
 	body := buffer[pageHeaderSize:]
 	sum := fnv.New64a()
-	sum.Write(body[:metaSummed])
-	sound := binary.LittleEndian.Uint32(body) == boltMagic &&
+	sum.Write(body[:metaChecksummed])
+	valid := binary.LittleEndian.Uint32(body) == boltMagic &&
 		binary.LittleEndian.Uint32(body[4:]) == boltVersion &&
 		binary.LittleEndian.Uint32(body[8:]) == pageSize &&
-		binary.LittleEndian.Uint64(body[metaSummed:]) == sum.Sum64()
+		binary.LittleEndian.Uint64(body[metaChecksummed:]) == sum.Sum64()
 	return meta{
 		root:        binary.LittleEndian.Uint64(body[16:]),
 		freelist:    binary.LittleEndian.Uint64(body[32:]),
 		pages:       binary.LittleEndian.Uint64(body[40:]),
 		transaction: binary.LittleEndian.Uint64(body[48:]),
-	}, sound, nil
+	}, valid, nil
 }
 
-// readFull reads the whole buffer. A file that ends too early is damaged; any other failure is one of the disk.
+// readFull fills the buffer. A file that ends too early is damaged; any other failure is an I/O error.
 func readFull(file io.ReaderAt, buffer []byte, offset int64) error {
 	count, err := file.ReadAt(buffer, offset)
 	if count == len(buffer) {
 		return nil
 	}
 	if err == nil || errors.Is(err, io.EOF) {
-		return damaged("the file ends at %d, before page %d does", offset+int64(count), offset/pageSize)
+		return damaged("the file ends at offset %d, before the end of page %d", offset+int64(count), offset/pageSize)
 	}
 	return eris.Wrap(err, "read the control state")
 }
 
-// walkRoot walks the tree of the buckets.
+// walkRoot walks the tree that holds the buckets.
 func (r *pageReader) walkRoot(id uint64, keys keyRange) error {
 	return r.walkTree(id, keys, func(element leafElement) error {
 		if !element.isBucket {
-			return damaged("a value where a bucket belongs")
+			return damaged("a value is found in place of a bucket")
 		}
 		return r.walkBucket(string(element.key), element.value)
 	})
 }
 
-// walkBucket walks one bucket. A small one is kept inside its value.
+// walkBucket walks one bucket. A small bucket is stored inline in its value.
 func (r *pageReader) walkBucket(name string, value []byte) error {
 	if len(value) < bucketSize {
-		return damaged("bucket %q is cut", name)
+		return damaged("bucket %q is truncated", name)
 	}
 	visit := func(element leafElement) error {
 		if element.isBucket {
-			return damaged("a bucket inside bucket %q", name)
+			return damaged("bucket %q contains a bucket", name)
 		}
 		return r.visitor(name, string(element.key), element.value)
 	}
@@ -153,16 +154,16 @@
 	}
 	inline := value[bucketSize:]
 	if len(inline) < pageHeaderSize {
-		return damaged("bucket %q is cut", name)
+		return damaged("bucket %q is truncated", name)
 	}
 	header := decodePageHeader(inline)
 	if header.id != 0 || header.flags != leafPage || header.overflow != 0 {
-		return damaged("bucket %q holds no leaf", name)
+		return damaged("inline bucket %q is not a leaf page", name)
 	}
 	return walkLeaf(inline, header.count, keyRange{}, visit)
 }
 
-// walkTree walks a page and those below it.
+// walkTree walks a page and all pages below it.
 func (r *pageReader) walkTree(id uint64, keys keyRange, visit func(leafElement) error) error {
 	page, header, err := r.readPage(id)
 	if err != nil {
@@ -174,7 +175,7 @@
 	case branchPage:
 		return r.walkBranch(page, header.count, keys, visit)
 	}
-	return damaged("page %d has type %#x", id, header.flags)
+	return damaged("page %d has the unknown type %#x", id, header.flags)
 }
 
 // walkBranch walks the pages below a branch page.
@@ -211,7 +212,7 @@
 			return err
 		}
 		if index > 0 && bytes.Compare(previous, element.key) >= 0 {
-			return damaged("keys out of order")
+			return damaged("the keys of a page are out of order")
 		}
 		if err := visit(element); err != nil {
 			return err
@@ -221,12 +222,13 @@
 	return nil
 }
 
+// check returns an error if the key is empty or outside the range.
 func (k keyRange) check(key []byte) error {
 	if len(key) == 0 {
-		return damaged("an empty key")
+		return damaged("a key is empty")
 	}
 	if bytes.Compare(key, k.from) < 0 || len(k.below) > 0 && bytes.Compare(key, k.below) >= 0 {
-		return damaged("a key outside the range of its page")
+		return damaged("a key is outside the range of its page")
 	}
 	return nil
 }
@@ -234,8 +236,8 @@
 type pageHeader struct {
 	id       uint64
 	flags    uint16
-	count    int
-	overflow uint64
+	count    int    // of elements
+	overflow uint64 // number of pages that follow and belong to this one
 }
 
 func decodePageHeader(page []byte) pageHeader {
@@ -247,10 +249,10 @@
 	}
 }
 
-// readPage reads a page with those that it runs over into, each of which must be in use only once.
+// readPage reads a page with its overflow pages. Each page must be in use only once.
 func (r *pageReader) readPage(id uint64) ([]byte, pageHeader, error) {
 	if id >= r.limit {
-		return nil, pageHeader{}, damaged("page %d is beyond the end", id)
+		return nil, pageHeader{}, damaged("page %d is beyond the end of the file", id)
 	}
 	page := make([]byte, pageSize)
 	if err := readFull(r.file, page, int64(id)*pageSize); err != nil {
@@ -258,10 +260,10 @@
 	}
 	header := decodePageHeader(page)
 	if header.id != id {
-		return nil, header, damaged("page %d says that it is page %d", id, header.id)
+		return nil, header, damaged("page %d has the id of page %d", id, header.id)
 	}
 	if header.overflow >= r.limit-id {
-		return nil, header, damaged("page %d runs beyond the end", id)
+		return nil, header, damaged("page %d extends beyond the end of the file", id)
 	}
 	for used := id; used <= id+header.overflow; used++ {
 		if r.used[used] {
@@ -283,13 +285,13 @@
 
 func decodeBranch(page []byte, count int) ([]branchElement, error) {
 	if count == 0 {
-		return nil, damaged("a branch page without elements")
+		return nil, damaged("a branch page has no elements")
 	}
 	elements := make([]branchElement, 0, count)
 	for index := range count {
 		start := pageHeaderSize + index*elementSize
 		if start+elementSize > len(page) {
-			return nil, damaged("too many elements in a page")
+			return nil, damaged("a page has too many elements")
 		}
 		fields := page[start : start+elementSize]
 		position := uint64(binary.LittleEndian.Uint32(fields))
@@ -311,7 +313,7 @@
 func decodeLeafElement(page []byte, index int) (leafElement, error) {
 	start := pageHeaderSize + index*elementSize
 	if start+elementSize > len(page) {
-		return leafElement{}, damaged("too many elements in a page")
+		return leafElement{}, damaged("a page has too many elements")
 	}
 	fields := page[start : start+elementSize]
 	position := uint64(start) + uint64(binary.LittleEndian.Uint32(fields[4:]))
@@ -329,9 +331,10 @@
 	return leafElement{isBucket: flags&bucketElement != 0, key: key, value: value}, nil
 }
 
+// slice returns part of a page, or an error if it extends beyond the page.
 func slice(page []byte, start, length uint64) ([]byte, error) {
 	if start+length > uint64(len(page)) {
-		return nil, damaged("an element beyond the end of its page")
+		return nil, damaged("an element extends beyond the end of its page")
 	}
 	return page[start : start+length], nil
 }
--- a/control/store/powerloss_test.go
+++ b/control/store/powerloss_test.go
@@ -11,19 +11,19 @@
 	"testing"
 )
 
-// sectorBytes is the unit in which a write is torn, beside tears at any byte.
+// sectorBytes is the size of the parts of which a torn write keeps some. Other torn writes end at any byte.
 const sectorBytes = 512
 
-// simulatedDisk is what a power loss may leave of recorded operations: a file holds what its last sync covered; each
-// later write is there, missing or torn. A new file lasts with its own sync; changed names last with that of their folder.
+// simulatedDisk models what a power loss may leave of recorded operations. A file holds what its last sync covered; each later
+// write is kept, lost or torn. A new file is durable after its own sync; changed names are durable after the sync of their folder.
 type simulatedDisk struct {
 	files        map[int]*simulatedFile
-	names        map[string]int // that last
+	names        map[string]int // durable names, with the numbers of their files
 	pendingNames []operation
 }
 
 type simulatedFile struct {
-	safe    []byte
+	safe    []byte // durable content
 	pending []operation
 }
 
@@ -31,7 +31,7 @@
 	return &simulatedDisk{files: map[int]*simulatedFile{}, names: map[string]int{}}
 }
 
-// clone copies what later operations change.
+// clone copies everything that later operations change.
 func (d *simulatedDisk) clone() *simulatedDisk {
 	copied := &simulatedDisk{files: map[int]*simulatedFile{}, names: maps.Clone(d.names), pendingNames: slices.Clone(d.pendingNames)}
 	for number, file := range d.files {
@@ -58,6 +58,7 @@
 	}
 }
 
+// syncFile makes the content of a file durable, and its name if the file is new.
 func (d *simulatedDisk) syncFile(number int) {
 	file := d.files[number]
 	file.safe = file.after(func(whole operation) []operation { return []operation{whole} })
@@ -71,7 +72,7 @@
 	})
 }
 
-// namesAfter gives the names when the first of the pending changes have reached the disk.
+// namesAfter returns the names after the first count pending changes have reached the disk.
 func (d *simulatedDisk) namesAfter(count int) map[string]int {
 	names := maps.Clone(d.names)
 	for _, change := range d.pendingNames[:count] {
@@ -90,55 +91,56 @@
 	return names
 }
 
-// after gives the bytes of the file when of each pending write the given parts have reached the disk.
+// after returns the content of the file if the given parts of each pending write have reached the disk.
 func (f *simulatedFile) after(parts func(operation) []operation) []byte {
-	held := slices.Clone(f.safe)
+	content := slices.Clone(f.safe)
 	for _, pending := range f.pending {
 		for _, part := range parts(pending) {
-			held = part.applyTo(held)
+			content = part.applyTo(content)
 		}
 	}
-	return held
+	return content
 }
 
-func (o operation) applyTo(held []byte) []byte {
+func (o operation) applyTo(content []byte) []byte {
 	if o.kind == resized {
-		if int(o.offset) <= len(held) {
-			return held[:o.offset]
+		if int(o.offset) <= len(content) {
+			return content[:o.offset]
 		}
-		return append(held, make([]byte, int(o.offset)-len(held))...)
+		return append(content, make([]byte, int(o.offset)-len(content))...)
 	}
 	end := int(o.offset) + len(o.data)
-	if end > len(held) {
-		held = append(held, make([]byte, end-len(held))...)
+	if end > len(content) {
+		content = append(content, make([]byte, end-len(content))...)
 	}
-	copy(held[o.offset:], o.data)
-	return held
+	copy(content[o.offset:], o.data)
+	return content
 }
 
-// outcome of a power loss: what is kept of the pending names, and of each pending write.
+// outcome of a power loss: how many pending name changes are kept, and which parts of each pending write.
 type outcome struct {
 	names int
 	parts func(operation) []operation
 }
 
-// outcomes of a power loss in this state: all lost, all kept, and a number of seeded mixes.
+// outcomes returns the outcomes of a power loss in this state: all kept, all lost, only the names or
+// only the writes kept, and a number of seeded mixes.
 func (d *simulatedDisk) outcomes(mixes int, seed uint64) []outcome {
 	keep := func(whole operation) []operation { return []operation{whole} }
 	lose := func(operation) []operation { return nil }
 	all := len(d.pendingNames)
-	found := []outcome{{names: all, parts: keep}}
+	results := []outcome{{names: all, parts: keep}}
 	if all == 0 && !d.anyPending() {
-		return found // nothing can get lost
+		return results // nothing can be lost
 	}
-	found = append(found, outcome{names: 0, parts: lose}, outcome{names: all, parts: lose}, outcome{names: 0, parts: keep})
+	results = append(results, outcome{names: 0, parts: lose}, outcome{names: all, parts: lose}, outcome{names: 0, parts: keep})
 	for mix := range mixes {
-		chance := rand.New(rand.NewPCG(seed, uint64(mix)))
-		found = append(found, outcome{names: chance.IntN(all + 1), parts: func(whole operation) []operation {
-			return tear(whole, chance)
+		random := rand.New(rand.NewPCG(seed, uint64(mix)))
+		results = append(results, outcome{names: random.IntN(all + 1), parts: func(whole operation) []operation {
+			return tear(whole, random)
 		}})
 	}
-	return found
+	return results
 }
 
 func (d *simulatedDisk) anyPending() bool {
@@ -150,16 +152,16 @@
 	return false
 }
 
-// tear keeps a write, loses it, or keeps some of its sectors, or its start.
-func tear(whole operation, chance *rand.Rand) []operation {
-	switch chance.IntN(4) {
+// tear keeps a write, loses it, or keeps its start or some of its sectors.
+func tear(whole operation, random *rand.Rand) []operation {
+	switch random.IntN(4) {
 	case 0:
 		return nil
 	case 1:
 		return []operation{whole}
 	case 2:
 		if whole.kind == written {
-			whole.data = whole.data[:chance.IntN(len(whole.data)+1)]
+			whole.data = whole.data[:random.IntN(len(whole.data)+1)]
 		}
 		return []operation{whole}
 	}
@@ -168,7 +170,7 @@
 	}
 	var kept []operation
 	for start := 0; start < len(whole.data); start += sectorBytes {
-		if chance.IntN(2) == 0 {
+		if random.IntN(2) == 0 {
 			part := whole
 			part.offset += int64(start)
 			part.data = whole.data[start:min(start+sectorBytes, len(whole.data))]
@@ -178,13 +180,13 @@
 	return kept
 }
 
-// lay writes what the outcome leaves into an empty folder, and returns the numbers of the files by name.
-func (d *simulatedDisk) lay(t *testing.T, directory string, left outcome) map[string]int {
+// writeTo writes the files that the outcome leaves to an empty folder, and returns the numbers of the files by name.
+func (d *simulatedDisk) writeTo(t *testing.T, directory string, left outcome) map[string]int {
 	t.Helper()
 	names := d.namesAfter(left.names)
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		held := d.files[names[name]].after(left.parts)
-		if err := os.WriteFile(filepath.Join(directory, name), held, fileMode); err != nil {
+		content := d.files[names[name]].after(left.parts)
+		if err := os.WriteFile(filepath.Join(directory, name), content, fileMode); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/control/store/record.go
+++ b/control/store/record.go
@@ -13,37 +13,37 @@
 	"eiderway/control/quorum"
 )
 
-// formatVersion of the file and of dumps. A program refuses versions above its own.
+// formatVersion is the version of the file format and of dumps. A program refuses versions above its own.
 const formatVersion = 1
 
-// head is everything on disk but the entries. It is rewritten with each transaction.
+// head holds everything but the entries. It is rewritten with each transaction.
 type head struct {
 	Incarnation quorum.Incarnation
 	Voter       quorum.VoterRecord
 	Stamp       quorum.Stamp
-	Entries     uint64 // how many there are
-	Sum         uint64 // of the sums of all entries
+	Entries     uint64 // number of entries
+	Sum         uint64 // sum of the checksums of all entries
 }
 
-// add counts an entry in.
+// add updates the count and the sum for an added entry.
 func (h *head) add(key string, value []byte) {
 	h.Entries++
 	h.Sum += entrySum(key, value)
 }
 
-// remove counts an entry out.
+// remove updates the count and the sum for a removed entry.
 func (h *head) remove(key string, value []byte) {
 	h.Entries--
 	h.Sum -= entrySum(key, value)
 }
 
-// clear counts all entries out.
+// clear resets the count and the sum after all entries were removed.
 func (h *head) clear() {
 	h.Entries = 0
 	h.Sum = 0
 }
 
-// entrySum is the sum over one entry. The length keeps key and value apart.
+// entrySum returns the checksum of one entry. The length of the key makes the boundary between key and value part of it.
 func entrySum(key string, value []byte) uint64 {
 	sum := fnv.New64a()
 	var length [8]byte
@@ -54,7 +54,7 @@
 	return sum.Sum64()
 }
 
-// encodeHead writes the head as its sum in hex, a space, and JSON.
+// encodeHead encodes the head as its checksum in hex, a space, and JSON.
 func encodeHead(h head) ([]byte, error) {
 	text, err := json.Marshal(h)
 	if err != nil {
@@ -63,15 +63,15 @@
 	return fmt.Appendf(nil, "%016x %s", entrySum("", text), text), nil
 }
 
-// decodeHead reads what encodeHead wrote.
+// decodeHead is the reverse of encodeHead.
 func decodeHead(encoded []byte) (head, error) {
 	sum, text, found := bytes.Cut(encoded, []byte(" "))
 	if !found || string(sum) != fmt.Sprintf("%016x", entrySum("", text)) {
-		return head{}, damaged("the head does not fit its sum")
+		return head{}, damaged("the head does not match its checksum")
 	}
 	var decoded head
 	if err := json.Unmarshal(text, &decoded); err != nil {
-		return head{}, damaged("the head is not readable: %v", err)
+		return head{}, damaged("the head can't be decoded: %v", err)
 	}
 	if decoded.Incarnation == "" {
 		return head{}, damaged("the head has no incarnation")
@@ -79,14 +79,14 @@
 	return decoded, nil
 }
 
-// encodeFormat writes the version of the format.
+// encodeFormat encodes the format version.
 func encodeFormat() []byte { return strconv.AppendInt(nil, formatVersion, 10) }
 
-// checkFormat tells whether this program can read the format.
+// checkFormat returns an error if this program can't read the format.
 func checkFormat(encoded []byte) error {
 	version, err := strconv.ParseUint(string(encoded), 10, 32)
 	if err != nil || version == 0 {
-		return damaged("no format version")
+		return damaged("the format version is missing or invalid")
 	}
 	if version > formatVersion {
 		return eris.Wrapf(ErrNewerFormat, "format %d, known up to %d", version, formatVersion)
--- a/control/store/recorder_test.go
+++ b/control/store/recorder_test.go
@@ -16,26 +16,26 @@
 	"unsafe"
 )
 
-// The recorder runs the test binary as a traced child and notes each of its system calls that touches the folder of a
-// store, so that what is tested is the order in which writes and syncs really come.
+// The recorder runs the test binary as a traced child process and records each of its system calls that touches the folder of a
+// store, so that the tests see the real order of writes and syncs.
 
 type operationKind int
 
 const (
-	created  operationKind = iota // a new file under a name
+	created  operationKind = iota // a new file with a name
 	written                       // bytes at an offset
-	resized                       // to a length
+	resized                       // a file, to a length
 	synced                        // a file
-	renamed                       // from a name to another
-	unlinked                      // a name
+	renamed                       // a file
+	unlinked                      // a file
 	folderSynced
-	marked // the child says how far it is
+	marked // the child reports the step that it has reached
 )
 
-// operation is one system call that succeeded.
+// operation is a recorded system call that succeeded.
 type operation struct {
 	kind   operationKind
-	file   int // number of the file, in the order of their making
+	file   int // number of the file, in the order of creation
 	name   string
 	to     string
 	offset int64
@@ -73,7 +73,7 @@
 	data      []byte
 }
 
-// record runs the child with this environment on a folder whose files have these numbers.
+// record runs the child with the given environment, and returns its operations. The numbers are those of the files in the folder.
 func record(t *testing.T, directory string, numbers map[string]int, environment ...string) []operation {
 	t.Helper()
 	runtime.LockOSThread() // all ptrace calls must come from the thread that started the child
@@ -126,7 +126,7 @@
 	return command
 }
 
-// follow lets the child run from system call to system call, and returns its status.
+// follow runs the child from system call to system call, and returns its exit status.
 func (r *recorder) follow(child int) int {
 	known := map[int]bool{child: true}
 	for {
@@ -153,10 +153,11 @@
 			deliver = int(signal)
 		}
 		known[thread] = true
-		_ = syscall.PtraceSyscall(thread, deliver) // fails for a thread that has just gone
+		_ = syscall.PtraceSyscall(thread, deliver) // fails for a thread that has just ended
 	}
 }
 
+// stopped handles the entry to a system call, or the exit from it.
 func (r *recorder) stopped(thread int) {
 	var info [infoBytes]byte
 	_, _, failure := syscall.Syscall6(syscall.SYS_PTRACE, ptraceGetSyscallInfo, uintptr(thread), infoBytes, uintptr(unsafe.Pointer(&info[0])), 0, 0)
@@ -181,7 +182,7 @@
 	}
 }
 
-// entered reads what the arguments point to.
+// entered reads the paths and data that the arguments point to.
 func (r *recorder) entered(entered *call) {
 	arguments := entered.arguments
 	switch entered.number {
@@ -199,7 +200,7 @@
 	}
 }
 
-// path reads a path and gives the name in the folder, "." for the folder itself, and "" for all else.
+// path reads a path and returns the name in the folder, "." for the folder itself, and "" for all other paths.
 func (r *recorder) path(address uint64) string {
 	buffer := make([]byte, maximumPath)
 	count, _ := r.memory.ReadAt(buffer, int64(address))
@@ -211,6 +212,7 @@
 	return name
 }
 
+// succeeded records a call that returned without an error.
 func (r *recorder) succeeded(left call, result uint64) {
 	descriptor := left.arguments[0]
 	file, tracked := r.open[descriptor]
@@ -235,7 +237,7 @@
 		if descriptor == markFile {
 			r.note(operation{kind: marked, text: string(left.data)})
 		} else if tracked {
-			r.t.Fatal("a write without an offset isn't modelled")
+			r.t.Fatal("a write without an offset is not modelled")
 		}
 	case syscall.SYS_PWRITE64:
 		if tracked {
@@ -254,6 +256,7 @@
 	}
 }
 
+// opened notes the descriptor of a file, and records the creation of a new one.
 func (r *recorder) opened(name string, descriptor uint64) {
 	if name == "" {
 		return
@@ -274,5 +277,5 @@
 
 func (r *recorder) note(done operation) { r.recorded = append(r.recorded, done) }
 
-// sysRenameat2 is missing in package syscall on some processors.
+// sysRenameat2 is missing in package syscall on some architectures.
 var sysRenameat2 = map[string]uint64{"amd64": 316, "arm64": 276, "riscv64": 276}[runtime.GOARCH]
--- a/control/store/script_test.go
+++ b/control/store/script_test.go
@@ -9,13 +9,13 @@
 	"eiderway/control/replication"
 )
 
-// runIncarnation is the one that the script is played as.
+// runIncarnation is the incarnation under which the script is run.
 const runIncarnation = quorum.Incarnation("recorded")
 
-// script is what the recorded child writes, one Apply a step. It grows the file, splits and joins pages, and replaces
-// all entries.
+// script returns the writes of the recorded child process, one Apply for each step. They grow the file, split and merge pages, and
+// replace all entries.
 func script() [][]replication.Write {
-	many := func(from, to int, value string) (mutations []replication.Mutation) {
+	manyPuts := func(from, to int, value string) (mutations []replication.Mutation) {
 		for number := from; number < to; number++ {
 			mutations = append(mutations, put(fmt.Sprintf("instance/%04d", number), value))
 		}
@@ -29,21 +29,21 @@
 	large := strings.Repeat("large configuration ", 6000)
 	return [][]replication.Write{
 		{{Voter: voterRecord(1)}},
-		{{Stamp: stamp(1), Mutations: many(0, 40, "first")}},
-		{{Stamp: stamp(2), Mutations: many(20, 30, "second")}, {Voter: voterRecord(2)}},
+		{{Stamp: stamp(1), Mutations: manyPuts(0, 40, "first")}},
+		{{Stamp: stamp(2), Mutations: manyPuts(20, 30, "second")}, {Voter: voterRecord(2)}},
 		{{Stamp: stamp(3), Mutations: []replication.Mutation{put("configuration", large)}}},
 		{{Voter: voterRecord(3)}},
-		{{Stamp: stamp(4), Mutations: many(0, 300, strings.Repeat("third", 20))}},
+		{{Stamp: stamp(4), Mutations: manyPuts(0, 300, strings.Repeat("third", 20))}},
 		{{Stamp: stamp(5), Mutations: []replication.Mutation{put("configuration", large[:len(large)/2])}}},
 		{{Stamp: stamp(6), Mutations: deletions}},
-		{{Replace: true, Stamp: stamp(7), Mutations: many(5, 25, "snapshot")}},
-		{{Stamp: stamp(8), Mutations: many(0, 60, "fourth")}, {Stamp: stamp(9), Mutations: deletions[:50]}},
+		{{Replace: true, Stamp: stamp(7), Mutations: manyPuts(5, 25, "snapshot")}},
+		{{Stamp: stamp(8), Mutations: manyPuts(0, 60, "fourth")}, {Stamp: stamp(9), Mutations: deletions[:50]}},
 		{{Voter: voterRecord(4)}},
 		{{Stamp: stamp(10), Mutations: []replication.Mutation{put("last", "x")}}},
 	}
 }
 
-// scriptStates gives the state before the script and after each of its steps.
+// scriptStates returns the state before the script and after each of its steps.
 func scriptStates(start replication.DurableState) []replication.DurableState {
 	states := []replication.DurableState{start}
 	for _, writes := range script() {
@@ -52,7 +52,7 @@
 	return states
 }
 
-// stateAfter is the meaning of Apply.
+// stateAfter models Apply: it returns the state after the writes.
 func stateAfter(before replication.DurableState, writes []replication.Write) replication.DurableState {
 	after := before
 	after.Entries = map[string][]byte{}
@@ -79,6 +79,7 @@
 	return after
 }
 
+// freshState returns the state of a new incarnation in the recorded run.
 func freshState() replication.DurableState {
 	return replication.DurableState{Incarnation: runIncarnation, Voter: quorum.VoterRecord{MayFound: true}, Entries: map[string][]byte{}}
 }
@@ -89,7 +90,7 @@
 	}
 }
 
-// stepOf finds a state among those of the script, or returns -1.
+// stepOf returns the index of the found state among the states, or -1.
 func stepOf(found replication.DurableState, states []replication.DurableState) int {
 	for step, state := range states {
 		if reflect.DeepEqual(found, state) {
--- a/control/store/store.go
+++ b/control/store/store.go
@@ -16,30 +16,30 @@
 	"eiderway/control/replication"
 )
 
-// incarnationBytes of chance make two equal incarnations as good as impossible.
+// incarnationBytes is the number of random bytes of an incarnation: enough to make two equal ones practically impossible.
 const incarnationBytes = 12
 
-// Options of Open.
+// Options are the options of Open.
 type Options struct {
 	FirstStart     bool                      // the whole system starts for the first time: a new incarnation may found a core
 	NewIncarnation func() quorum.Incarnation // nil: random
 	Log            logrus.FieldLogger        // nil: the standard logger
 
-	opened func(*bbolt.DB, *os.File) // sees the database each time that it was opened for Apply
+	opened func(*bbolt.DB, *os.File) // called each time the database has been opened for Apply; for tests
 }
 
-// Store is the open state of one controller. It is used by one goroutine at a time.
+// Store is the open state of one controller. It must be used by one goroutine at a time.
 type Store struct {
-	directory string
-	options   Options
-	database  *bbolt.DB // nil: closed, or to be reopened
-	closed    bool
-	head      head
-	remapped  bool // the mapping was found stale, and that has been logged
+	directory          string
+	options            Options
+	database           *bbolt.DB // nil: closed, or Reopen must be called
+	closed             bool
+	head               head
+	staleMappingLogged bool // the warning of checkMapping has been logged
 }
 
-// Open reads the state in the directory. An empty directory, or one with a damaged state, becomes a new incarnation.
-// What Open returns is safe on disk.
+// Open reads the state in the directory. In an empty directory, or one with a damaged state, it starts a new incarnation. The
+// returned state is durable.
 func Open(directory string, options Options) (*Store, replication.DurableState, error) {
 	if options.NewIncarnation == nil {
 		options.NewIncarnation = randomIncarnation
@@ -48,7 +48,7 @@
 		options.Log = logrus.StandardLogger()
 	}
 	if err := os.MkdirAll(directory, folderMode); err != nil {
-		return nil, replication.DurableState{}, eris.Wrap(err, "make the folder of the control state")
+		return nil, replication.DurableState{}, eris.Wrap(err, "create the folder of the control state")
 	}
 	store := &Store{directory: directory, options: options}
 	found, err := store.start()
@@ -64,8 +64,8 @@
 	return quorum.Incarnation(hex.EncodeToString(chance[:]))
 }
 
-// Apply carries the writes out as one transaction, which is safe on disk once Apply has returned nil. After an error
-// it is unknown whether the disk has it, and Reopen must succeed before the next Apply.
+// Apply performs the writes as one transaction, which is durable once Apply has returned nil. After an error it is unknown whether
+// the transaction is on disk, and Reopen must succeed before the next Apply.
 func (s *Store) Apply(writes []replication.Write) error {
 	if s.closed {
 		return ErrClosed
@@ -74,7 +74,7 @@
 		return ErrReopenFirst
 	}
 	next := s.head
-	err := guard(func() error {
+	err := catchPanics(func() error {
 		return s.database.Update(func(transaction *bbolt.Tx) (err error) {
 			next, err = putWrites(transaction, s.head, writes)
 			return err
@@ -91,13 +91,13 @@
 	return nil
 }
 
-// Reopen reads the state again after an error of Apply. The failed transaction is in it as a whole, or not at all.
+// Reopen reads the state again after a failed Apply. The failed transaction is in it completely or not at all.
 //
-// The state is written to a new file that takes the place of the old one: after a failed sync, what can be read
-// from the old file need not be on the disk, and a second sync doesn't tell.
+// The state is written to a new file that replaces the old one: after a failed sync, what can be read from the old file need not
+// be on the disk, and a second sync may succeed without writing it.
 //
-// A file that is found damaged here is an error (see IsDamage), and left to the next Open: the running process
-// still speaks as the old incarnation.
+// If the file is found to be damaged, Reopen returns an error (see IsDamage) and leaves the file to the next Open, because the
+// running process still acts as the old incarnation.
 func (s *Store) Reopen() (replication.DurableState, error) {
 	if s.closed {
 		return replication.DurableState{}, ErrClosed
@@ -110,7 +110,7 @@
 	return found.durable(), nil
 }
 
-// Close ends the use of the directory.
+// Close closes the store and unlocks its file.
 func (s *Store) Close() error {
 	s.closed = true
 	if s.database == nil {
@@ -121,21 +121,21 @@
 	return eris.Wrap(database.Close(), "close the control state")
 }
 
-// release closes the database after a failure, as well as it goes.
+// release closes the database after a failure, and only logs an error of the closing.
 func (s *Store) release() {
 	if s.database == nil {
 		return
 	}
 	database := s.database
 	s.database = nil
-	if err := guard(database.Close); err != nil {
-		s.options.Log.WithError(err).Warn("control state: close after a failure")
+	if err := catchPanics(database.Close); err != nil {
+		s.options.Log.WithError(err).Warn("control state: could not close the database after a failure")
 	}
 }
 
 func (s *Store) path() string { return filepath.Join(s.directory, FileName) }
 
-// start opens what is there.
+// start opens the existing file, or creates one.
 func (s *Store) start() (contents, error) {
 	file, err := openLocked(s.path(), os.O_RDWR, syscall.LOCK_EX)
 	if errors.Is(err, os.ErrNotExist) {
@@ -154,7 +154,7 @@
 	return found, s.attach(file, found.head)
 }
 
-// startNew makes the file of a new incarnation, and opens it.
+// startNew creates and opens the file of a new incarnation.
 func (s *Store) startNew() (contents, error) {
 	if err := s.setUnfinishedAside(); err != nil {
 		return contents{}, err
@@ -163,7 +163,7 @@
 	if err != nil {
 		return contents{}, err
 	}
-	// One that has lost its state may have founded a core already.
+	// A controller that has lost its state may have founded a core before.
 	mayFound := s.options.FirstStart && !damagedBefore
 	if err := writeFile(s.directory, newContents(s.options.NewIncarnation(), mayFound)); err != nil {
 		return contents{}, err
@@ -172,28 +172,28 @@
 	if err != nil {
 		return contents{}, eris.Wrap(err, "open the control state")
 	}
-	made, err := readFile(file)
+	created, err := readFile(file)
 	if err != nil {
 		return contents{}, errors.Join(err, file.Close())
 	}
-	return made, s.attach(file, made.head)
+	return created, s.attach(file, created.head)
 }
 
-// setUnfinishedAside keeps what a power loss during the first start has left.
+// setUnfinishedAside renames an unfinished file that a power loss during the first start has left.
 func (s *Store) setUnfinishedAside() error {
 	_, err := os.Stat(filepath.Join(s.directory, unfinishedName))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
-	aside, err := setAside(s.directory, unfinishedName, setUnfinishedOff)
+	aside, err := setAside(s.directory, unfinishedName, abandonedName)
 	if err != nil {
 		return err
 	}
-	s.options.Log.WithField("kept", aside).Warn("control state: an unfinished file was set aside; nothing was ever said from it")
+	s.options.Log.WithField("kept", aside).Warn("control state: an unfinished file was set aside; it was never used")
 	return nil
 }
 
-// startDamaged keeps the damaged file under another name, and goes on as a new incarnation.
+// startDamaged renames the damaged file, and starts a new incarnation.
 func (s *Store) startDamaged(file *os.File, cause error) (contents, error) {
 	aside, err := setAside(s.directory, FileName, damagedName)
 	if err := errors.Join(err, file.Close()); err != nil {
@@ -204,11 +204,11 @@
 	return s.startNew()
 }
 
-// attach lets bbolt use an open file that was read and found sound. What was read may not be synced yet, if the process
-// before was killed: it is before attach returns.
+// attach opens bbolt on a file that was read and found intact. If the previous process was killed, the content may not be synced
+// yet, so attach syncs the file before it returns.
 func (s *Store) attach(file *os.File, expected head) error {
 	var database *bbolt.DB
-	err := guard(func() (err error) {
+	err := catchPanics(func() (err error) {
 		database, err = openDatabase(s.path(), file, bbolt.Options{})
 		return err
 	})
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// rewrite puts the state into a new file, and opens that.
+// rewrite copies the state to a new file that replaces the old one, and opens the new file.
 func (s *Store) rewrite() (contents, error) {
 	file, err := openLocked(s.path(), os.O_RDWR, syscall.LOCK_EX)
 	if err != nil {
@@ -247,15 +247,15 @@
 	return found, s.attach(file, found.head)
 }
 
-// checkMapping reads back what was written. A system whose mappings do not show later writes gets a new mapping after
-// each transaction.
+// checkMapping reads back what was written. On a system whose memory mappings do not show later writes, it maps the file again
+// after each transaction.
 func (s *Store) checkMapping(next head, writes []replication.Write) error {
 	if readsBack(s.database, next, writes) {
 		return nil
 	}
-	if !s.remapped {
-		s.remapped = true
-		s.options.Log.Warn("control state: the mapping of the file does not show what was written; it is mapped anew after each write")
+	if !s.staleMappingLogged {
+		s.staleMappingLogged = true
+		s.options.Log.Warn("control state: the memory mapping of the file does not show new writes; the file is mapped again after each write")
 	}
 	s.release()
 	file, err := openLocked(s.path(), os.O_RDWR, syscall.LOCK_EX)
@@ -266,7 +266,7 @@
 		return err
 	}
 	if !readsBack(s.database, next, writes) {
-		return eris.New("the file does not hold what was written")
+		return eris.New("the file does not contain what was written")
 	}
 	return nil
 }
--- a/control/store/store_test.go
+++ b/control/store/store_test.go
@@ -16,14 +16,14 @@
 	"eiderway/control/replication"
 )
 
-// silent keeps the tests' output free of log lines.
+// silent returns a logger that discards its output.
 func silent() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// numbered gives incarnations that tests can tell apart.
+// numbered returns a generator of incarnations that tests can tell apart.
 func numbered() func() quorum.Incarnation {
 	count := 0
 	return func() quorum.Incarnation {
@@ -55,12 +55,12 @@
 	}
 }
 
-func TestStateComesBack(t *testing.T) {
+func TestStateIsReadBack(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
 	store, first, err := Open(directory, Options{Log: silent()})
 	is.NoErr(err)
-	is.Equal(len(first.Incarnation), 2*incarnationBytes) // random hex
+	is.Equal(len(first.Incarnation), 2*incarnationBytes) // random bytes in hex
 	is.Equal(len(first.Entries), 0)
 	is.True(!first.Voter.MayFound)
 
@@ -94,7 +94,7 @@
 	is.NoErr(store.Close())
 }
 
-func TestFirstStartMayFound(t *testing.T) {
+func TestFirstStartMayFoundAlsoAfterRestart(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
 	store, durable, err := Open(directory, Options{Log: silent(), FirstStart: true, NewIncarnation: numbered()})
@@ -104,7 +104,7 @@
 	is.NoErr(store.Close())
 	store, durable, err = Open(directory, Options{Log: silent()})
 	is.NoErr(err)
-	is.True(durable.Voter.MayFound) // a restart before the founding goes on with it
+	is.True(durable.Voter.MayFound) // a restart before the core is founded keeps it
 	is.NoErr(store.Close())
 }
 
@@ -118,7 +118,7 @@
 	_, _, err = Open(directory, Options{Log: silent()})
 	is.True(isErr(err, ErrInUse))
 	is.NoErr(store.Close())
-	is.Equal(names(t, directory), []string{FileName}) // and nothing was set aside
+	is.Equal(names(t, directory), []string{FileName}) // nothing was set aside
 }
 
 func TestFileStaysSmall(t *testing.T) {
@@ -138,7 +138,7 @@
 	is.NoErr(store.Close())
 	info, err := os.Stat(filepath.Join(directory, FileName))
 	is.NoErr(err)
-	is.True(info.Size() < 512<<10) // rewritten 400 times, a body is 40 KB
+	is.True(info.Size() < 512<<10) // the body of 40 KB is rewritten 400 times
 	t.Logf("file: %d bytes", info.Size())
 }
 
--- a/control/store/support_test.go
+++ b/control/store/support_test.go
@@ -8,7 +8,7 @@
 
 func isErr(err, target error) bool { return errors.Is(err, target) }
 
-// names lists a folder, sorted.
+// names returns the sorted names of the files in a folder.
 func names(t *testing.T, directory string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(directory)
--- a/control/store/transaction.go
+++ b/control/store/transaction.go
@@ -11,7 +11,7 @@
 	"eiderway/control/replication"
 )
 
-// putContents writes a whole state into an empty file.
+// putContents writes a complete state to an empty file.
 func putContents(transaction *bbolt.Tx, whole contents) error {
 	controller, err := transaction.CreateBucket([]byte(controllerBucket))
 	if err != nil {
@@ -40,7 +40,7 @@
 	return transaction.Bucket([]byte(controllerBucket)).Put([]byte(headKey), encoded)
 }
 
-// putWrites carries the writes out, in their order, and returns the head that they lead to.
+// putWrites performs the writes in order and stores and returns the resulting head.
 func putWrites(transaction *bbolt.Tx, next head, writes []replication.Write) (head, error) {
 	for _, write := range writes {
 		if write.Voter != nil {
@@ -83,13 +83,13 @@
 	}
 	value := mutation.Value
 	if value == nil {
-		value = []byte{} // bbolt's Get returns nil for what isn't there
+		value = []byte{} // bbolt's Get returns nil for a missing key
 	}
 	next.add(mutation.Key, value)
 	return entries.Put(key, value)
 }
 
-// lastMutations returns what the writes leave of each entry that they touch.
+// lastMutations returns the last mutation of each entry that the writes touch.
 func lastMutations(writes []replication.Write) map[string]replication.Mutation {
 	last := map[string]replication.Mutation{}
 	for _, write := range writes {
@@ -103,34 +103,34 @@
 	return last
 }
 
-// readsBack tells whether bbolt's mapping shows what has just been written to the file. All pages that a transaction
-// writes are on the way to an entry that it touches, or to the head.
-func readsBack(database *bbolt.DB, expected head, writes []replication.Write) (shown bool) {
-	err := guard(func() error {
+// readsBack reports whether bbolt's memory mapping shows what has just been written to the file. To check these entries and the
+// head is enough: every page that a transaction writes is on the path to one of them.
+func readsBack(database *bbolt.DB, expected head, writes []replication.Write) (matches bool) {
+	err := catchPanics(func() error {
 		return database.View(func(transaction *bbolt.Tx) error {
 			encoded, err := encodeHead(expected)
 			if err != nil {
 				return err
 			}
 			controller := transaction.Bucket([]byte(controllerBucket))
-			shown = controller != nil && bytes.Equal(controller.Get([]byte(headKey)), encoded)
+			matches = controller != nil && bytes.Equal(controller.Get([]byte(headKey)), encoded)
 			entries := transaction.Bucket([]byte(entriesBucket))
 			for key, mutation := range lastMutations(writes) {
 				value := entries.Get([]byte(key))
-				shown = shown && (value == nil) == mutation.Delete && bytes.Equal(value, mutation.Value)
+				matches = matches && (value == nil) == mutation.Delete && bytes.Equal(value, mutation.Value)
 			}
 			return nil
 		})
 	})
-	return err == nil && shown
+	return err == nil && matches
 }
 
-// guard turns a panic of bbolt, or a read fault in its mapping, into an error.
-func guard(work func() error) (err error) {
+// catchPanics runs work and turns a panic of bbolt, or a read fault in its memory mapping, into an error.
+func catchPanics(work func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = eris.New(fmt.Sprintf("bbolt gave up: %v", cause))
+			err = eris.New(fmt.Sprintf("bbolt panicked: %v", cause))
 		}
 	}()
 	return work()
