--- a/host/admin.go
+++ b/host/admin.go
@@ -79,7 +79,7 @@
 	context.AfterFunc(p.ctx, func() { _ = server.Close() })
 	p.background.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			p.options.Log.WithError(err).Warn("admin socket")
+			p.options.Log.WithError(err).Warn("admin socket: serving failed")
 		}
 	})
 	return nil
--- a/host/controlhandler.go
+++ b/host/controlhandler.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// operation is the operation that a path names.
+// operation identifies what a path requests.
 type operation int
 
 const (
@@ -134,11 +134,11 @@
 	h.counters.orders.Add(1)
 	size := request.ContentLength
 	if size < 0 || size > configuration.MaxBody {
-		size = configuration.MaxBody // unknown, or refused before it is read
+		size = configuration.MaxBody // unknown, or too large and rejected before it is read
 	}
 	defer h.orderBytes.Add(-size)
 	if h.orderBytes.Add(size) > maxOrderBytes {
-		h.overloaded(writer)
+		h.writeOverloaded(writer)
 		return
 	}
 	body, complete := readBody(writer, request, configuration.MaxBody)
@@ -179,7 +179,7 @@
 	replies := h.replies.open(call)
 	if !h.inbox.offer(input) {
 		h.replies.drop(call)
-		h.overloaded(writer)
+		h.writeOverloaded(writer)
 		return
 	}
 	backstop := time.NewTimer(h.backstop)
@@ -204,7 +204,7 @@
 		return
 	}
 	h.counters.unanswered.Add(1)
-	unavailable(writer, "no answer in time; ask again")
+	writeUnavailable(writer, "no answer in time; ask again")
 }
 
 // abandon ends a call without a reply, and reports whether it was still open.
@@ -216,12 +216,12 @@
 	return open
 }
 
-func unavailable(writer http.ResponseWriter, text string) {
+func writeUnavailable(writer http.ResponseWriter, text string) {
 	writer.Header().Set("Retry-After", strconv.Itoa(retryAtOnce))
 	writeError(writer, http.StatusServiceUnavailable, text)
 }
 
-func (h *controlHandler) overloaded(writer http.ResponseWriter) {
+func (h *controlHandler) writeOverloaded(writer http.ResponseWriter) {
 	h.counters.overloaded.Add(1)
 	writer.Header().Set("Retry-After", strconv.Itoa(retryLater))
 	writeError(writer, http.StatusServiceUnavailable, "too much waits here; ask another controller")
--- a/host/disk.go
+++ b/host/disk.go
@@ -26,7 +26,7 @@
 	Reopen() (replication.DurableState, error)
 }
 
-// errForeignIncarnation ends the process: it must not act for an incarnation whose promises are no longer on disk.
+// errForeignIncarnation ends the process, which must not act for an incarnation whose promises are no longer on disk.
 var errForeignIncarnation = eris.New("host: the disk holds another incarnation than before")
 
 // diskWriter applies writes in order and reports their outcome to the controller. All queued writes go into one transaction.
@@ -42,11 +42,11 @@
 	ended    chan struct{}
 	pause    time.Duration // before the next attempt to reopen the store; 0: the last write succeeded. Used by the goroutine of run only
 
-	mutex      sync.Mutex
-	queue      []replication.Write
-	isRefusing bool // a write failed, and the controller has not taken the failure yet
-	isWriting  bool // a transaction is in progress
-	isForeign  bool // the disk holds another incarnation
+	mutex                sync.Mutex
+	queue                []replication.Write
+	hasUnreportedFailure bool // a write failed, and the controller has not taken the failure yet
+	isWriting            bool // a transaction is in progress
+	isForeign            bool // the disk holds another incarnation
 }
 
 func newDiskWriter(store diskStore, self quorum.Incarnation, inbox *mailbox, log logrus.FieldLogger, counters *counters, cancel context.CancelCauseFunc) *diskWriter {
@@ -79,7 +79,7 @@
 func (d *diskWriter) acknowledgeFailure() {
 	d.mutex.Lock()
 	d.queue = nil
-	d.isRefusing = false
+	d.hasUnreportedFailure = false
 	d.mutex.Unlock()
 	d.signal()
 }
@@ -88,7 +88,7 @@
 func (d *diskWriter) isIdle() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return len(d.queue) == 0 && !d.isWriting && !d.isRefusing
+	return len(d.queue) == 0 && !d.isWriting && !d.hasUnreportedFailure
 }
 
 // stop makes run return after it has applied the queued writes.
@@ -117,7 +117,7 @@
 func (d *diskWriter) next() []replication.Write {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.isRefusing || d.isForeign {
+	if d.hasUnreportedFailure || d.isForeign {
 		return nil
 	}
 	writes := d.queue
@@ -156,7 +156,7 @@
 func (d *diskWriter) finish(failed bool) {
 	d.mutex.Lock()
 	d.isWriting = false
-	d.isRefusing = failed
+	d.hasUnreportedFailure = failed
 	d.mutex.Unlock()
 }
 
--- a/host/host.go
+++ b/host/host.go
@@ -34,7 +34,7 @@
 	diskStopTimeout = 300 * time.Millisecond
 )
 
-var errGraceExpired = eris.New("host: the time to hand over is used up")
+var errGraceExpired = eris.New("host: the time for the handover has expired")
 
 // Options configure Run.
 type Options struct {
@@ -114,10 +114,10 @@
 	p.internal = internalHandler{inbox: inbox, ids: ids, watches: watches, counters: counters, backstop: watchBackstop, relay: p.relay.forward}
 
 	started := time.Now()
-	machine := controller.New(time.Since(started), ControllerSettings(options.Settings), durable)
+	ctrl := controller.New(time.Since(started), ControllerSettings(options.Settings), durable)
 	p.loop = &loop{
-		controller: machine,
-		isPrimary:  func() bool { return machine.Status().Role == replication.Primary },
+		controller: ctrl,
+		isPrimary:  func() bool { return ctrl.Status().Role == replication.Primary },
 		inbox:      inbox,
 		disk:       p.disk,
 		outbox:     &outbox{send: p.send},
@@ -129,7 +129,7 @@
 		started:    started,
 	}
 	if options.Publish != nil {
-		p.loop.readStatus = machine.Status
+		p.loop.readStatus = ctrl.Status
 	}
 	p.prober = newProber(ctx, options.Settings.Name, p.loop.now, p.deliverProbeResult, counters)
 	p.platform = &platformClient{
@@ -223,7 +223,8 @@
 	p.closeDisk()
 }
 
-// closeDisk waits for the disk writer, at most diskStopTimeout. The process may end with writes unsynced: no message has told of them.
+// closeDisk waits for the disk writer, at most diskStopTimeout. The process may end with unsynced writes: no message that depends on them has
+// been sent.
 func (p *process) closeDisk() {
 	p.disk.stop()
 	timer := time.NewTimer(diskStopTimeout)
--- a/host/internalhandler.go
+++ b/host/internalhandler.go
@@ -9,8 +9,8 @@
 	"eiderway/control/replication"
 )
 
-// watchBackstop ends a watch request that the controller has not answered. It answers within maxWatchWait plus, if it has to confirm first,
-// callTimeout.
+// watchBackstop ends a watch request that the controller has not answered. The controller answers within maxWatchWait plus, if it has to
+// confirm first, callTimeout.
 const watchBackstop = maxWatchWait + answerBackstop
 
 // internalHandler takes the messages and requests of other processes of the system and passes them to the controller.
--- a/host/pending.go
+++ b/host/pending.go
@@ -10,7 +10,7 @@
 // callIDs issues call IDs, in one sequence for calls of all kinds.
 type callIDs struct{ last atomic.Uint64 }
 
-func (n *callIDs) next() controller.CallID { return controller.CallID(n.last.Add(1)) }
+func (c *callIDs) next() controller.CallID { return controller.CallID(c.last.Add(1)) }
 
 // pending holds the unanswered calls of one kind. An answer without an open call is dropped.
 type pending[Answer any] struct {
