--- a/control/state/api.go
+++ b/control/state/api.go
@@ -4,7 +4,7 @@
 // Commands are applied to a Transaction, which collects their changes, so that a batch of commands becomes one replicated
 // change. Everything here is a pure function of the entries and the commands.
 //
-// Two kinds of entries are bounded. Of the configuration numbers in use, the highest MaxOrders are kept. Once there are that
+// Two kinds of entries are bounded. Of the taken configuration numbers, the highest MaxOrders are kept. Once there are that
 // many, an order with a lower number is acknowledged as superseded and not recorded, so that a conflicting order under the
 // same number is not detected there. Of the departed instances, the last MaxDepartures are kept: a heartbeat that arrives
 // after that many later departures is treated as that of a new instance.
@@ -27,7 +27,7 @@
 const (
 	// InForce: the order becomes the configuration in force once the change is committed.
 	InForce OrderOutcome = iota
-	// Repeated: the same order was accepted before.
+	// Repeated: the same order was recorded before.
 	Repeated
 	// Superseded: a higher number is in force. The number is recorded as taken, and nothing else changes.
 	Superseded
@@ -50,7 +50,7 @@
 }
 
 // HasAnnouncedLeave reports whether the instance announced that it leaves and this was acknowledged. Records of earlier versions
-// lack Farewell, so it is derived from the other fields.
+// lack Farewell, so for them it is derived from the other fields.
 func (i Instance) HasAnnouncedLeave() bool { return i.Farewell || i.Left && !i.Lost && !i.Displaced }
 
 // revokesEnd reports whether replacing the record by next would revoke a drain or a leave that may have been acknowledged. Both are
--- a/control/state/transaction.go
+++ b/control/state/transaction.go
@@ -24,7 +24,7 @@
 	return &Transaction{base: reader, changed: make(map[string]replication.Mutation)}
 }
 
-// DisableGuards disables rules, for tests that show what each of them prevents.
+// DisableGuards disables the given guards, for tests that show what each of them prevents.
 func (t *Transaction) DisableGuards(guards guard.Set) *Transaction {
 	t.disabled = guards
 	return t
