--- a/control/state/instance.go
+++ b/control/state/instance.go
@@ -38,7 +38,7 @@
 // acknowledged, and notes the violation.
 func (t *Transaction) PutInstance(instance Instance) {
 	before, known := findRecord(t, instance.ID)
-	if known && before.revokesEnd(instance) && !t.disabled.Lacks(guard.EndIsFinal) {
+	if known && before.revokesEnd(instance) && !t.disabled.Has(guard.EndIsFinal) {
 		t.violations = append(t.violations, invariant.EndIsFinal+": "+instance.ID)
 		return
 	}
