--- a/fleet/router.go
+++ b/fleet/router.go
@@ -145,7 +145,7 @@
 	}
 	t.out = true
 	if f.way.Talk {
-		r.peerState.Started(node, sent)
+		r.peerState.RecordStart(node, sent)
 		r.at(sent, r.act)
 	}
 	if node == 2 {
@@ -174,7 +174,7 @@
 			}
 		}
 		if f.way.Talk {
-			r.peerState.Finished(node, rep.Pos, rep.Role == splitter.RolePrimary, f.now)
+			r.peerState.RecordFinish(node, rep.Pos, rep.Role == splitter.RolePrimary, f.now)
 		}
 		if f.way.Zones {
 			r.zones.Saw(node, t.typ, o == splitter.Committed, res.Latency, f.now)
@@ -336,7 +336,7 @@
 	f, group, typ := r.f, t.group, t.typ
 	r.txns[id] = t
 	if f.way.Talk {
-		r.peerState.Arrived(group, typ > 0, f.now)
+		r.peerState.RecordArrival(group, typ > 0, f.now)
 		r.act()
 	}
 	r.split.Arrive(splitter.Txn{ID: id, Group: group, Type: typ, Until: f.now + 3*t.sla})
--- a/peerstate/api.go
+++ b/peerstate/api.go
@@ -3,7 +3,7 @@
 // others, and which nodes it probes for them.
 //
 // How to call it: New makes a Table from a Config. The host names the members of the list (AddNode, RemoveNode), says what
-// this router observed itself (Observe, Started, Finished), that a read or a write came (Arrived) or that a txn waits for a
+// this router observed itself (Observe, RecordStart, RecordFinish), that a read or a write came (RecordArrival) or that a txn waits for a
 // primary (AwaitPrimary), hands over each datagram of a peer (Receive), calls Step when it is due (Next), and after each call
 // does what Effects asks for. Time (seconds of Unix time) is handed in, ids are small indices that the host gives. One seed
 // and one history of calls give one history of effects.
--- a/peerstate/coordination.go
+++ b/peerstate/coordination.go
@@ -22,10 +22,10 @@
 	return now < g.coordinateUntil || now-g.heardAt < missedUpdates*t.interval
 }
 
-// Arrived says that a read with a bound, or a write, has come for a group. Where this router has no proof of its own, it is
+// RecordArrival says that a read with a bound, or a write, has come for a group. Where this router has no proof of its own, it is
 // for such reads that a group is coordinated: a router with enough traffic asks for nothing. A write asks where no member has
 // said to this router that it is primary: else each router would probe all of them for its first one.
-func (t *Table) Arrived(id int, write bool, now float64) {
+func (t *Table) RecordArrival(id int, write bool, now float64) {
 	g := t.groups[id]
 	if g == nil {
 		return
--- a/peerstate/inflight.go
+++ b/peerstate/inflight.go
@@ -15,9 +15,9 @@
 	updatedAt         float64 // of the newest message
 }
 
-// Started says that a submission of this router leaves for a node. Only all routers together know how busy a node is where
+// RecordStart says that a submission of this router leaves for a node. Only all routers together know how busy a node is where
 // each has a txn there now and then; what their answers show of it is older than a queue lasts.
-func (t *Table) Started(id int, now float64) {
+func (t *Table) RecordStart(id int, now float64) {
 	if id >= len(t.nodes) || t.nodes[id] == nil {
 		return
 	}
@@ -28,8 +28,8 @@
 	}
 }
 
-// Finished says that a submission has ended, with the position that the node named then (0: none).
-func (t *Table) Finished(id int, pos float64, primary bool, now float64) {
+// RecordFinish says that a submission has ended, with the position that the node named then (0: none).
+func (t *Table) RecordFinish(id int, pos float64, primary bool, now float64) {
 	if id >= len(t.nodes) || t.nodes[id] == nil {
 		return
 	}
--- a/peerstate/peerstate_test.go
+++ b/peerstate/peerstate_test.go
@@ -175,18 +175,18 @@
 	case "observe":
 		s.table.Observe(s.names[f[1]], s.now-s.number(f[2]), len(f) > 3, s.now)
 	case "started":
-		s.table.Started(s.names[f[1]], s.now)
+		s.table.RecordStart(s.names[f[1]], s.now)
 	case "finished":
-		s.table.Finished(s.names[f[1]], s.now-s.number(f[2]), false, s.now)
+		s.table.RecordFinish(s.names[f[1]], s.now-s.number(f[2]), false, s.now)
 	case "write":
-		s.table.Arrived(0, true, s.now)
+		s.table.RecordArrival(0, true, s.now)
 	case "read":
 		times := 1
 		if len(f) > 1 {
 			times = int(s.number(f[1]))
 		}
 		for range times {
-			s.table.Arrived(0, false, s.now)
+			s.table.RecordArrival(0, false, s.now)
 		}
 	case "primary":
 		s.table.AwaitPrimary(0, s.now)
@@ -285,13 +285,13 @@
 			i, n := rng.Intn(routers), rng.Intn(nodes)
 			switch rng.Intn(5) {
 			case 0:
-				tables[i].Arrived(0, rng.Intn(4) == 0, now)
+				tables[i].RecordArrival(0, rng.Intn(4) == 0, now)
 			case 1:
 				if rng.Intn(3) > 0 {
 					stands[n] = max(stands[n], now-rng.Float64()*0.5) // else it stands still
 				}
 				if stands[n] > 0 {
-					tables[i].Finished(n, stands[n], n == 0, now)
+					tables[i].RecordFinish(n, stands[n], n == 0, now)
 				}
 			case 2, 3:
 				if len(air) > 0 {
@@ -382,12 +382,12 @@
 		}
 		outs := make([]int, routers)
 		submits := func(i int, lossless bool) {
-			tables[i].Started(0, now)
+			tables[i].RecordStart(0, now)
 			outs[i]++
 			settle(i, lossless)
 		}
 		ends := func(i int, lossless bool) {
-			tables[i].Finished(0, now, false, now)
+			tables[i].RecordFinish(0, now, false, now)
 			outs[i]--
 			settle(i, lossless)
 		}
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -165,7 +165,7 @@
 	}
 	x := c.txn(h, at)
 	if write := c.terms.Writes(x.Type); c.peerState != nil && (write || c.terms.Bounded(x.Type)) {
-		c.peerState.table.Arrived(x.Group, write, c.now)
+		c.peerState.table.RecordArrival(x.Group, write, c.now)
 		c.peerState.act()
 	}
 	c.router.Arrive(x)
@@ -337,7 +337,7 @@
 		c.gossip.transport.Started(n.uid, j.sent)
 	}
 	if c.peerState != nil {
-		c.peerState.table.Started(node, c.now)
+		c.peerState.table.RecordStart(node, c.now)
 		c.tell(c.peerState.act)
 	}
 	n.tell(func() { n.start(j) })
--- a/proxy/peerstate.go
+++ b/proxy/peerstate.go
@@ -81,7 +81,7 @@
 // landed tells the table that a submission has ended, with what the node named of itself.
 func (t *peerState) landed(n *node, r splitter.Report) {
 	if id, ok := t.core.byUID[n.uid]; ok {
-		t.table.Finished(id, r.Pos, r.Role == splitter.RolePrimary, t.core.now)
+		t.table.RecordFinish(id, r.Pos, r.Role == splitter.RolePrimary, t.core.now)
 		t.act()
 	}
 }
