--- a/peerstate/coordination.go
+++ b/peerstate/coordination.go
@@ -1,6 +1,6 @@
 package peerstate
 
-// This file owns which router coordinates a group, and for how long. It must never wait for an answer of another router.
+// This file decides which router coordinates a group, and for how long. It must never block on the answer of another router.
 
 import (
 	"cmp"
@@ -10,21 +10,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// reportsSubmissions tells whether the coordinator hears of our submissions: while it sends us updates, and for a while after
-// that if we have hardly any proof of our own. Who has no use for a group gets no updates, and that is how it is seen to have
-// one again.
+// reportsSubmissions tells whether this router reports its submissions to the coordinator: while the coordinator sends it
+// updates, and for submissionReportTime after that if few of its reads have a proof of its own. A router without use for a group
+// gets no updates; its reports show the coordinator that it has a use for them again.
 func (t *Table) reportsSubmissions(g *group, now float64) bool {
-	return t.hasCoordinator(g, now) || g.unprovenShare > unprovenThreshold && g.coordinator >= 0 && now-g.heardAt < coordinatorTimeout
+	return t.hasCoordinator(g, now) ||
+		g.unprovenShare > unprovenThreshold && g.coordinator >= 0 && now-g.updateReceivedAt < submissionReportTime
 }
 
-// hasCoordinator tells whether a coordinator is active, this router or another.
+// hasCoordinator tells whether this router or another one is coordinating the group.
 func (t *Table) hasCoordinator(g *group, now float64) bool {
-	return now < g.coordinateUntil || now-g.heardAt < missedUpdates*t.interval
+	return now < g.coordinateUntil || now-g.updateReceivedAt < maxMissedUpdates*t.interval
 }
 
-// RecordArrival says that a read with a bound, or a write, has come for a group. Where this router has no proof of its own, it is
-// for such reads that a group is coordinated: a router with enough traffic asks for nothing. A write asks where no member has
-// said to this router that it is primary: else each router would probe all of them for its first one.
+// RecordArrival records that a read with a staleness bound, or a write, has arrived for a group. A read asks for coordination
+// if this router often has no proof of its own; a router with enough traffic asks for nothing. A write asks if no member has
+// said to this router that it is primary; otherwise each router would probe all members for its first write.
 func (t *Table) RecordArrival(id int, write bool, now float64) {
 	g := t.groups[id]
 	if g == nil {
@@ -36,54 +37,56 @@
 		}
 		return
 	}
-	lacks := 1.0
+	unproven := 1.0
 	for _, n := range g.members {
-		if n.own > now-t.config.Bound && n.primaryPosition < n.own {
-			lacks = 0
+		if n.ownPosition > now-t.config.Bound && n.primaryPosition < n.ownPosition {
+			unproven = 0
 		}
 	}
-	if g.unprovenShare += unprovenGain * (lacks - g.unprovenShare); lacks > 0 && g.unprovenShare > unprovenThreshold {
+	if g.unprovenShare += unprovenGain * (unproven - g.unprovenShare); unproven > 0 && g.unprovenShare > unprovenThreshold {
 		t.request(g, false, now)
 	}
 }
 
-// AwaitPrimary says that a txn waits for a group's primary to show.
+// AwaitPrimary records that a txn waits until the primary of a group is known.
 func (t *Table) AwaitPrimary(id int, now float64) {
 	if g := t.groups[id]; g != nil {
 		t.request(g, true, now)
 	}
 }
 
-func (t *Table) request(g *group, primary bool, now float64) {
+// request asks for the coordination of a group, unless this router did so a short while ago. With seekPrimary, the coordinator
+// is to look for the primary.
+func (t *Table) request(g *group, seekPrimary bool, now float64) {
 	if t.config.Routers < 2 {
 		return
 	}
 	if now < g.coordinateUntil {
-		t.coordinate(g, primary, now)
+		t.coordinate(g, seekPrimary, now)
 		return
 	}
 	to, kind := g.coordinator, kindSubscribe
-	if primary {
+	if seekPrimary {
 		kind = kindSeekPrimary
 	}
 	switch {
 	case t.hasCoordinator(g, now):
-		every := primarySearchTime / 2
-		if !primary {
-			every = coordinateFor / 4
+		minWait := primarySearchTime / 2
+		if !seekPrimary {
+			minWait = coordinationTime / 4
 			if t.rng.Float64() >= requestsPerGroup/float64(t.config.Routers) {
 				return
 			}
 		}
-		if now-g.askedAt < every {
+		if now-g.requestedAt < minWait {
 			return
 		}
-	case g.asked >= 0 && now-g.askedAt < replyTimeout:
+	case g.askedRouter >= 0 && now-g.requestedAt < replyTimeout:
 		return
 	default:
-		if g.asked >= 0 && g.heardAt < g.askedAt {
+		if g.askedRouter >= 0 && g.updateReceivedAt < g.requestedAt {
 			t.counts.Unanswered++
-			t.unreachableUntil[g.asked] = now + unreachableFor
+			t.unreachableUntil[g.askedRouter] = now + unreachableTime
 			t.replyShare -= replyGain * t.replyShare
 		}
 		to = t.chooseCoordinator(g, now)
@@ -91,39 +94,41 @@
 			kind = kindSubscribeNow
 		}
 		if t.replyShare > replyShareToWait {
-			// Its answer is worth waiting for, unless most of late have not come: then peers are cut off, whatever the
-			// group, and this router probes for itself while it asks on.
+			// Reads wait for the answer unless most recent requests went unanswered. In that case peers are cut off for
+			// every group, and this router probes for itself while it goes on asking.
 			t.effects.Updates = append(t.effects.Updates, Update{Group: g.id, Until: now + replyTimeout})
 		}
 	}
-	g.asked, g.askedAt, g.retry = to, now, 0
+	g.askedRouter, g.requestedAt, g.retryKind = to, now, 0
 	if !t.hasCoordinator(g, now) {
-		g.retry = kind
+		g.retryKind = kind
 	}
 	if to == t.config.Self {
-		g.asked = -1
-		t.coordinate(g, primary, now)
+		g.askedRouter = -1
+		t.coordinate(g, seekPrimary, now)
 		return
 	}
 	t.counts.Requests++
 	t.send(to, kind, g, nil, now)
 }
 
-// chooseCoordinator picks the router that should coordinate a group: of those not known to be unreachable, the first by a hash
-// of both numbers (rendezvous hashing). All come to the same one without asking anybody, and each has a group or so.
+// chooseCoordinator returns the router that should coordinate a group: of those not known to be unreachable, the one with the
+// highest hash of both numbers (rendezvous hashing). All routers choose the same one without communication, and the groups are
+// spread evenly over the routers.
 func (t *Table) chooseCoordinator(g *group, now float64) int {
-	best, most := t.config.Self, uint64(0)
+	best, highest := t.config.Self, uint64(0)
 	for i := range t.config.Routers {
 		if i != t.config.Self && now < t.unreachableUntil[i] {
 			continue
 		}
-		if h := rank(g.id, i); h >= most {
-			best, most = i, h
+		if h := rank(g.id, i); h >= highest {
+			best, highest = i, h
 		}
 	}
 	return best
 }
 
+// rank orders the routers for a group: the one with the highest rank coordinates it.
 func rank(group, router int) uint64 {
 	var key [8]byte
 	binary.BigEndian.PutUint32(key[:], uint32(group))
@@ -131,10 +136,10 @@
 	return xxhash.Sum64(key[:])
 }
 
-// coordinate makes this router the coordinator of a group for as long as it is asked for.
-func (t *Table) coordinate(g *group, primary bool, now float64) {
+// coordinate makes this router the coordinator of a group for another coordinationTime, and adds to the probe budget.
+func (t *Table) coordinate(g *group, seekPrimary bool, now float64) {
 	if now >= g.coordinateUntil {
-		g.updateDue = now
+		g.updateDueAt = now
 	}
 	if now >= g.coordinateUntil {
 		for _, n := range g.members {
@@ -142,14 +147,14 @@
 		}
 		g.subscribers = make([]float64, t.config.Routers)
 	}
-	g.coordinateUntil = now + coordinateFor
-	if primary {
+	g.coordinateUntil = now + coordinationTime
+	if seekPrimary {
 		g.primarySoughtUntil = now + primarySearchTime
 	}
 	g.probeBudget = min(maxProbeBudget, g.probeBudget+probesPerRequest)
 }
 
-// successorsOf are the first routers that come to coordinate a group.
+// successorsOf returns the routers that coordinate a group first, in the order of succession.
 func (t *Table) successorsOf(g *group) []int {
 	if g.successors == nil {
 		all := make([]int, t.config.Routers)
--- a/peerstate/inflight.go
+++ b/peerstate/inflight.go
@@ -1,22 +1,21 @@
 package peerstate
 
-// This file owns the counts of submissions in flight. A message that is lost, late or doubled must never leave a lasting mark
-// on them.
+// This file counts the submissions in flight. A message that is lost, late or duplicated must never falsify the counts for long.
 
 import (
 	"math"
 )
 
-// flightCount is what a peer has reported of its submissions to a node: how many have started and finished so far, each by its
-// newest message, modulo 256. So a message that is overtaken, doubled or long on its way changes nothing, and one that is lost
-// is made up for by the next.
+// flightCount is what a peer has reported about its submissions to a node: how many have started and finished so far, each
+// according to its newest message, modulo 256. So a message that is overtaken, duplicated or delayed changes nothing, and the
+// next message makes up for a lost one.
 type flightCount struct {
 	started, finished byte
-	updatedAt         float64 // of the newest message
+	updatedAt         float64 // when the newest message came
 }
 
-// RecordStart says that a submission of this router leaves for a node. Only all routers together know how busy a node is where
-// each has a txn there now and then; what their answers show of it is older than a queue lasts.
+// RecordStart records that this router sends a submission to a node. If each router only has a txn there now and then, only all
+// of them together know how busy the node is; what its answers show of that is older than a queue lasts.
 func (t *Table) RecordStart(id int, now float64) {
 	if id >= len(t.nodes) || t.nodes[id] == nil {
 		return
@@ -28,13 +27,13 @@
 	}
 }
 
-// RecordFinish says that a submission has ended, with the position that the node named then (0: none).
+// RecordFinish records that a submission has ended, with the position that the node named then (0: none).
 func (t *Table) RecordFinish(id int, pos float64, primary bool, now float64) {
 	if id >= len(t.nodes) || t.nodes[id] == nil {
 		return
 	}
 	n := t.nodes[id]
-	n.finished = min(n.finished+1, n.started) // what left before the node was listed anew is not counted
+	n.finished = min(n.finished+1, n.started) // a submission from before the node was added again is not counted
 	t.observe(id, pos, primary, now)
 	if now >= n.group.coordinateUntil && t.reportsSubmissions(n.group, now) {
 		t.counts.Reports++
@@ -43,49 +42,50 @@
 	}
 }
 
-// receiveCount takes a peer's message on how many of its submissions have started, or finished, so far.
+// receiveCount processes a peer's message about how many of its submissions have started, or finished, so far.
 func (n *node) receiveCount(k messageKind, router int, number byte, now float64) {
-	t := n.inFlight[router]
-	if t != nil && now-t.updatedAt <= inFlightTimeout {
-		count := &t.started
+	c := n.inFlight[router]
+	if c != nil && now-c.updatedAt <= inFlightTimeout {
+		count := &c.started
 		if k == kindFinished {
-			count = &t.finished
+			count = &c.finished
 		}
-		if by := int8(number - *count); by > 0 && by <= counterWindow {
-			*count, t.updatedAt = number, now
+		if ahead := int8(number - *count); ahead > 0 && ahead <= counterWindow {
+			*count, c.updatedAt = number, now
 			return
-		} else if by <= 0 && by >= -counterWindow {
+		} else if ahead <= 0 && ahead >= -counterWindow {
 			return
 		}
 	}
-	// Nothing is known of what it had in flight before. A peer that has restarted is told from a message that was overtaken
-	// by how far its numbers are.
-	if t = (&flightCount{number, number, now}); k == kindStarted {
-		t.finished--
+	// Nothing is known of what the peer had in flight before: this is its first message for a while, or it has restarted. A
+	// restart differs from an overtaken message in how far off the number is.
+	if c = (&flightCount{number, number, now}); k == kindStarted {
+		c.finished--
 	}
 	if n.inFlight == nil {
 		n.inFlight = map[int]*flightCount{}
 	}
-	n.inFlight[router] = t
+	n.inFlight[router] = c
 }
 
-// inFlight is how many are in flight. An end that comes before its start leaves none.
-func (t *flightCount) inFlight() int {
-	if out := t.started - t.finished; out <= math.MaxUint8-counterWindow {
-		return int(out)
+// inFlight returns the number of submissions in flight. A finish that is reported before its start counts as none in flight.
+func (c *flightCount) inFlight() int {
+	if count := c.started - c.finished; count <= math.MaxUint8-counterWindow {
+		return int(count)
 	}
 	return 0
 }
 
-// load counts submissions in flight, without those of peers that have said nothing more: their ends must have been lost.
+// load returns the number of submissions of all routers in flight. It drops those of peers that have sent nothing for
+// inFlightTimeout: the messages about their ends must have been lost.
 func (n *node) load(now float64) int {
-	all := n.started - n.finished
-	for router, t := range n.inFlight {
-		if now-t.updatedAt > inFlightTimeout {
+	total := n.started - n.finished
+	for router, c := range n.inFlight {
+		if now-c.updatedAt > inFlightTimeout {
 			delete(n.inFlight, router)
 		} else {
-			all += t.inFlight()
+			total += c.inFlight()
 		}
 	}
-	return all
+	return total
 }
--- a/peerstate/peerstate_test.go
+++ b/peerstate/peerstate_test.go
@@ -18,47 +18,49 @@
 
 const bound = 0.2
 
-// scene plays a Table of a text. The notation (ROUTER is a number, or first, second, last: by who should coordinate group 0):
+// scenarioRunner runs a scenario file against one Table. The words of a file (ROUTER is a number, or first, second or last in
+// the order in which routers should coordinate group 0):
 //
-//	table me=ROUTER of=N                   a new one
-//	node NAME [GROUP], forget NAME         of the list
-//	observe NAME AGE [primary]             a probe of ours has shown that it stands as long ago
-//	started NAME, finished NAME AGE        a submission of ours
-//	read [TIMES], write, primary           reads come; a write; a txn waits for its primary
-//	from ROUTER KIND [NAME AGE [primary] [load=N] [number=N]]...   a datagram; KIND is subscribe, subscribe-now, seek-primary,
-//	                                       report, started, finished, update; what started or finished is the router's
-//	                                       next there, or the one with that number
-//	late ROUTER SECONDS KIND ...           one that was as long on its way
-//	garbled ROUTER, stranger ROUTER        one with a bit turned; one that says it is another's
-//	wait SECONDS
-//	expect WHAT..., never WHAT...          since the last expect: KIND to ROUTER|NUMBER|all [NAMES], probe NAME, state NAME AGE, due,
-//	                                       heard
-//	rests yes|no                           nothing is due
-//	load NAME N                            submissions that are counted there
-type scene struct {
-	t      *testing.T
-	where  string
-	now    float64
-	me     int
-	of     int
-	table  *Table
-	names  map[string]int
-	did    []string
-	until  float64
-	counts map[string]int // what has started and finished so far, by kind, router and node
+//	table me=ROUTER of=N                   creates the Table of one of N routers
+//	node NAME [GROUP], forget NAME         adds a node, removes it
+//	observe NAME AGE [primary]             this router's probe has shown that the node's position is AGE seconds old
+//	started NAME, finished NAME AGE        a submission of this router starts, finishes
+//	read [TIMES], write, primary           reads arrive; a write arrives; a txn waits for its primary
+//	from ROUTER KIND [NAME AGE [primary] [load=N] [number=N]]...   a datagram comes; KIND is subscribe, subscribe-now,
+//	                                       seek-primary, report, started, finished or update; started and finished are about
+//	                                       the router's next submission there, or the one with that number
+//	late ROUTER SECONDS KIND ...           a datagram comes that was sent SECONDS ago
+//	garbled ROUTER KIND ...                a datagram comes with one bit flipped, for each of its bits
+//	stranger ROUTER                        a datagram comes that names another router as its sender
+//	wait SECONDS                           time passes, and Step is called when it is due
+//	expect WHAT..., never WHAT...          what has or hasn't happened since the last expect: KIND to ROUTER|NUMBER|all [NAMES],
+//	                                       probe NAME, state NAME AGE, due (an answer is expected), heard (a coordinator is active)
+//	rests yes|no                           whether no Step is due any more
+//	load NAME N                            number of submissions counted in flight at the node
+type scenarioRunner struct {
+	t           *testing.T
+	place       string // file and line of the scenario
+	now         float64
+	self        int
+	routers     int
+	table       *Table
+	names       map[string]int
+	events      []string // effects since the last expect
+	until       float64
+	submissions map[string]int // started and finished so far, by kind, router and node
 }
 
 var kindNames = map[string]messageKind{"subscribe": kindSubscribe, "subscribe-now": kindSubscribeNow, "seek-primary": kindSeekPrimary,
 	"report": kindReport, "started": kindStarted, "finished": kindFinished, "update": kindUpdate}
 
-func (s *scene) number(text string) float64 {
+func (s *scenarioRunner) number(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
-	require.NoError(s.t, err, s.where)
+	require.NoError(s.t, err, s.place)
 	return v
 }
 
-func (s *scene) router(text string) int {
-	all := make([]int, s.of)
+func (s *scenarioRunner) router(text string) int {
+	all := make([]int, s.routers)
 	for i := range all {
 		all[i] = i
 	}
@@ -69,27 +71,27 @@
 	case "second":
 		return all[1]
 	case "last":
-		return all[s.of-1]
+		return all[s.routers-1]
 	}
 	return int(s.number(text))
 }
 
-// datagram is what a peer would send. Words follow as name, age, and what else is said of it.
-func (s *scene) datagram(from int, f []string, at float64) []byte {
+// datagram returns what a peer would send at a time. The words are a kind and, for each node, its name, its age and attributes.
+func (s *scenarioRunner) datagram(from int, words []string, at float64) []byte {
 	var about []*node
-	for i := 1; i < len(f); {
-		n := &node{key: s.table.nodes[s.names[f[i]]].key, position: at - s.number(f[i+1])}
-		if f[0] == "started" || f[0] == "finished" {
-			who := fmt.Sprint(f[0], from, f[i])
-			s.counts[who]++
-			n.started, n.finished = s.counts[who], s.counts[who]
-		}
-		for i += 2; i < len(f); i++ {
-			if load, ok := strings.CutPrefix(f[i], "load="); ok {
+	for i := 1; i < len(words); {
+		n := &node{nameHash: s.table.nodes[s.names[words[i]]].nameHash, position: at - s.number(words[i+1])}
+		if words[0] == "started" || words[0] == "finished" {
+			submitter := fmt.Sprint(words[0], from, words[i])
+			s.submissions[submitter]++
+			n.started, n.finished = s.submissions[submitter], s.submissions[submitter]
+		}
+		for i += 2; i < len(words); i++ {
+			if load, ok := strings.CutPrefix(words[i], "load="); ok {
 				n.started = int(s.number(load))
-			} else if number, ok := strings.CutPrefix(f[i], "number="); ok {
+			} else if number, ok := strings.CutPrefix(words[i], "number="); ok {
 				n.started, n.finished = int(s.number(number)), int(s.number(number))
-			} else if f[i] == "primary" {
+			} else if words[i] == "primary" {
 				n.primaryPosition = n.position
 			} else {
 				break
@@ -97,55 +99,55 @@
 		}
 		about = append(about, n)
 	}
-	k, ok := kindNames[f[0]]
-	require.True(s.t, ok, s.where)
+	k, ok := kindNames[words[0]]
+	require.True(s.t, ok, s.place)
 	return encode(k, from, 0, about, bound/ageSteps, at)
 }
 
-// settle writes down the effects.
-func (s *scene) settle() {
+// recordEffects appends the effects of the table to the events.
+func (s *scenarioRunner) recordEffects() {
 	e := s.table.Effects()
 	for _, update := range e.Updates {
 		s.until = update.Until
 		if update.Heard {
-			s.did = append(s.did, "heard")
+			s.events = append(s.events, "heard")
 		} else {
-			s.did = append(s.did, "due")
+			s.events = append(s.events, "due")
 		}
-		for _, w := range update.Nodes {
-			s.did = append(s.did, fmt.Sprintf("state %s %g", s.name(w.Node), math.Round((s.now-w.Pos)*1000)/1000))
+		for _, state := range update.Nodes {
+			s.events = append(s.events, fmt.Sprintf("state %s %g", s.name(state.Node), math.Round((s.now-state.Pos)*1000)/1000))
 		}
 	}
 	for _, id := range e.Probes {
-		s.did = append(s.did, "probe "+s.name(id))
+		s.events = append(s.events, "probe "+s.name(id))
 	}
-	for _, x := range e.Sends {
-		to := map[bool]string{true: "all", false: strconv.Itoa(x.To)}[x.To == All]
+	for _, sent := range e.Sends {
+		to := map[bool]string{true: "all", false: strconv.Itoa(sent.To)}[sent.To == All]
 		for name := range map[string]bool{"first": true, "second": true, "last": true} {
-			if x.To != All && x.To == s.router(name) {
+			if sent.To != All && sent.To == s.router(name) {
 				to = name
 			}
 		}
-		m, err := decode(x.Bytes, s.now, bound/ageSteps)
-		require.NoError(s.t, err, s.where)
+		m, err := decode(sent.Bytes, s.now, bound/ageSteps)
+		require.NoError(s.t, err, s.place)
 		line := ""
 		for name, k := range kindNames {
 			if k == m.kind {
 				line = name + " to " + to
 			}
 		}
-		for _, key := range m.keys {
+		for _, nameHash := range m.nameHashes {
 			for _, n := range s.table.nodes {
-				if n != nil && n.key == key {
+				if n != nil && n.nameHash == nameHash {
 					line += " " + s.name(n.id)
 				}
 			}
 		}
-		s.did = append(s.did, line)
+		s.events = append(s.events, line)
 	}
 }
 
-func (s *scene) name(id int) string {
+func (s *scenarioRunner) name(id int) string {
 	for name, i := range s.names {
 		if i == id {
 			return name
@@ -154,36 +156,36 @@
 	return "?"
 }
 
-func (s *scene) play(f []string) {
-	rest := func(i int) []string { return f[min(i, len(f)):] }
-	switch f[0] {
+func (s *scenarioRunner) runLine(words []string) {
+	wordsFrom := func(i int) []string { return words[min(i, len(words)):] }
+	switch words[0] {
 	case "table":
-		s.of = int(s.number(strings.TrimPrefix(f[2], "of=")))
-		s.me = s.router(strings.TrimPrefix(f[1], "me="))
-		s.table = New(Config{Self: s.me, Routers: s.of, Seed: 1, Bound: bound})
+		s.routers = int(s.number(strings.TrimPrefix(words[2], "of=")))
+		s.self = s.router(strings.TrimPrefix(words[1], "me="))
+		s.table = New(Config{Self: s.self, Routers: s.routers, Seed: 1, Bound: bound})
 	case "node":
 		group := 0
-		if len(f) > 2 {
-			group = int(s.number(f[2]))
+		if len(words) > 2 {
+			group = int(s.number(words[2]))
 		}
-		s.names[f[1]] = len(s.names)
-		s.table.AddNode(s.names[f[1]], f[1], group)
+		s.names[words[1]] = len(s.names)
+		s.table.AddNode(s.names[words[1]], words[1], group)
 	case "forget":
-		s.table.RemoveNode(s.names[f[1]])
-		s.names["was "+f[1]] = s.names[f[1]]
-		delete(s.names, f[1])
+		s.table.RemoveNode(s.names[words[1]])
+		s.names["was "+words[1]] = s.names[words[1]]
+		delete(s.names, words[1])
 	case "observe":
-		s.table.Observe(s.names[f[1]], s.now-s.number(f[2]), len(f) > 3, s.now)
+		s.table.Observe(s.names[words[1]], s.now-s.number(words[2]), len(words) > 3, s.now)
 	case "started":
-		s.table.RecordStart(s.names[f[1]], s.now)
+		s.table.RecordStart(s.names[words[1]], s.now)
 	case "finished":
-		s.table.RecordFinish(s.names[f[1]], s.now-s.number(f[2]), false, s.now)
+		s.table.RecordFinish(s.names[words[1]], s.now-s.number(words[2]), false, s.now)
 	case "write":
 		s.table.RecordArrival(0, true, s.now)
 	case "read":
 		times := 1
-		if len(f) > 1 {
-			times = int(s.number(f[1]))
+		if len(words) > 1 {
+			times = int(s.number(words[1]))
 		}
 		for range times {
 			s.table.RecordArrival(0, false, s.now)
@@ -191,20 +193,21 @@
 	case "primary":
 		s.table.AwaitPrimary(0, s.now)
 	case "from":
-		require.True(s.t, s.table.Receive(s.router(f[1]), s.datagram(s.router(f[1]), rest(2), s.now), s.now), s.where)
+		require.True(s.t, s.table.Receive(s.router(words[1]), s.datagram(s.router(words[1]), wordsFrom(2), s.now), s.now), s.place)
 	case "late":
-		require.True(s.t, s.table.Receive(s.router(f[1]), s.datagram(s.router(f[1]), rest(3), s.now-s.number(f[2])), s.now), s.where)
+		require.True(s.t, s.table.Receive(s.router(words[1]), s.datagram(s.router(words[1]), wordsFrom(3), s.now-s.number(words[2])), s.now),
+			s.place)
 	case "garbled":
-		b := s.datagram(s.router(f[1]), rest(2), s.now)
+		b := s.datagram(s.router(words[1]), wordsFrom(2), s.now)
 		for i := range len(b) * 8 {
 			b[i/8] ^= 1 << (i % 8)
-			require.False(s.t, s.table.Receive(s.router(f[1]), b, s.now), "%s: bit %d", s.where, i)
+			require.False(s.t, s.table.Receive(s.router(words[1]), b, s.now), "%s: bit %d", s.place, i)
 			b[i/8] ^= 1 << (i % 8)
 		}
 	case "stranger":
-		require.False(s.t, s.table.Receive(s.router(f[1]), s.datagram(s.of+3, []string{"subscribe"}, s.now), s.now), s.where)
+		require.False(s.t, s.table.Receive(s.router(words[1]), s.datagram(s.routers+3, []string{"subscribe"}, s.now), s.now), s.place)
 	case "wait":
-		for end := s.now + s.number(f[1]); ; {
+		for end := s.now + s.number(words[1]); ; {
 			next := s.table.Next()
 			if next > end {
 				s.now = end
@@ -212,50 +215,50 @@
 			}
 			s.now = max(s.now, next)
 			s.table.Step(s.now)
-			s.settle()
+			s.recordEffects()
 		}
 	case "expect", "never":
-		i := slices.IndexFunc(s.did, func(did string) bool { return strings.HasPrefix(did+" ", strings.Join(f[1:], " ")+" ") })
-		if f[0] == "never" {
-			require.Less(s.t, i, 0, "%s: %q", s.where, s.did)
+		i := slices.IndexFunc(s.events, func(event string) bool { return strings.HasPrefix(event+" ", strings.Join(words[1:], " ")+" ") })
+		if words[0] == "never" {
+			require.Less(s.t, i, 0, "%s: %q", s.place, s.events)
 			return
 		}
-		require.GreaterOrEqual(s.t, i, 0, "%s: did %q", s.where, s.did)
-		s.did = s.did[i+1:]
+		require.GreaterOrEqual(s.t, i, 0, "%s: events %q", s.place, s.events)
+		s.events = s.events[i+1:]
 	case "rests":
-		require.Equal(s.t, f[1] == "yes", math.IsInf(s.table.Next(), 1), s.where)
+		require.Equal(s.t, words[1] == "yes", math.IsInf(s.table.Next(), 1), s.place)
 	case "load":
-		require.Equal(s.t, int(s.number(f[2])), s.table.nodes[s.names[f[1]]].load(s.now), s.where)
+		require.Equal(s.t, int(s.number(words[2])), s.table.nodes[s.names[words[1]]].load(s.now), s.place)
 	default:
-		require.Fail(s.t, "unknown line", s.where)
+		require.Fail(s.t, "unknown scenario word", s.place)
 	}
-	s.settle()
+	s.recordEffects()
 }
 
 func TestScenarios(t *testing.T) {
 	scenario.Each(t, func(t *testing.T, path string) {
-		s := &scene{t: t, now: 1e9, names: map[string]int{}, counts: map[string]int{}}
+		s := &scenarioRunner{t: t, now: 1e9, names: map[string]int{}, submissions: map[string]int{}}
 		for _, line := range scenario.MustRead(t, path) {
-			s.where = line.Place
-			s.play(line.Words)
+			s.place = line.Place
+			s.runLine(line.Words)
 		}
 	})
 }
 
-// TestNeverYounger: whatever becomes of datagrams (lost, doubled, late, reordered, garbled), no state that comes out of a
-// Table is younger than what its node has named to somebody.
-func TestNeverYounger(t *testing.T) {
+// TestStatesAreNeverNewerThanNodes checks that no state that a Table returns has a newer position than its node has named to any
+// router, even if datagrams are lost, duplicated, late, reordered or corrupted.
+func TestStatesAreNeverNewerThanNodes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewSource(rapid.Int64().Draw(rt, "seed")))
 		const routers, nodes = 6, 5
 		now := 1e9 + rapid.Float64Range(0, 1e7).Draw(rt, "start")
-		stands := make([]float64, nodes) // the position that a node has named last
+		named := make([]float64, nodes) // the last position that each node has named
 		var tables []*Table
-		type flying struct {
+		type datagram struct {
 			from, to int
 			b        []byte
 		}
-		var air []flying
+		var inTransit []datagram
 		for i := range routers {
 			b := New(Config{Self: i, Routers: routers, Seed: int64(i), Bound: bound})
 			for n := range nodes {
@@ -263,19 +266,19 @@
 			}
 			tables = append(tables, b)
 		}
-		settle := func(i int) {
+		handleEffects := func(i int) {
 			e := tables[i].Effects()
 			for _, s := range e.Sends {
 				for to := range routers {
 					if to != i && (s.To == All || s.To == to) {
-						air = append(air, flying{i, to, s.Bytes})
+						inTransit = append(inTransit, datagram{i, to, s.Bytes})
 					}
 				}
 			}
 			for _, update := range e.Updates {
-				for _, w := range update.Nodes {
-					if w.Pos > stands[w.Node]+1e-6 {
-						rt.Fatalf("node %d stands at %.4f, a state says %.4f", w.Node, stands[w.Node], w.Pos)
+				for _, state := range update.Nodes {
+					if state.Pos > named[state.Node]+1e-6 {
+						rt.Fatalf("node %d has position %.4f, but a state says %.4f", state.Node, named[state.Node], state.Pos)
 					}
 				}
 			}
@@ -288,43 +291,44 @@
 				tables[i].RecordArrival(0, rng.Intn(4) == 0, now)
 			case 1:
 				if rng.Intn(3) > 0 {
-					stands[n] = max(stands[n], now-rng.Float64()*0.5) // else it stands still
+					named[n] = max(named[n], now-rng.Float64()*0.5) // otherwise its position stays
 				}
-				if stands[n] > 0 {
-					tables[i].RecordFinish(n, stands[n], n == 0, now)
+				if named[n] > 0 {
+					tables[i].RecordFinish(n, named[n], n == 0, now)
 				}
 			case 2, 3:
-				if len(air) > 0 {
-					k := rng.Intn(len(air))
-					f := air[k]
+				if len(inTransit) > 0 {
+					k := rng.Intn(len(inTransit))
+					f := inTransit[k]
 					b := slices.Clone(f.b)
 					switch rng.Intn(6) {
 					case 0: // lost
-						air = slices.Delete(air, k, k+1)
+						inTransit = slices.Delete(inTransit, k, k+1)
 						continue
-					case 1: // garbled
+					case 1: // corrupted
 						b[rng.Intn(len(b))] ^= byte(1 + rng.Intn(255))
-					case 2: // doubled: it stays in the air
+					case 2: // duplicated: it stays in transit
 					default:
-						air = slices.Delete(air, k, k+1)
+						inTransit = slices.Delete(inTransit, k, k+1)
 					}
 					tables[f.to].Receive(f.from, b, now)
-					settle(f.to)
+					handleEffects(f.to)
 				}
 			case 4:
 				tables[i].Step(now)
 			}
-			settle(i)
+			handleEffects(i)
 		}
 	})
 }
 
-// TestLoads: whatever way messages take (doubled, overtaken, seconds late), a coordinator counts what is in flight, once they have come; of
-// those that are lost, once each router's next have.
-func TestLoads(t *testing.T) {
+// TestLoadIsExactAfterDelaysAndLosses checks that a coordinator counts the submissions in flight exactly, although messages are
+// duplicated, overtaken or up to a second late, once they have arrived; and although some are lost, once the next ones of each router
+// have arrived.
+func TestLoadIsExactAfterDelaysAndLosses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewSource(rapid.Int64().Draw(rt, "seed")))
-		loses := rapid.SampledFrom([]float64{0, 0.02, 0.3}).Draw(rt, "loses")
+		lossRate := rapid.SampledFrom([]float64{0, 0.02, 0.3}).Draw(rt, "loses")
 		const routers = 6
 		now := 1e9
 		coordinator := -1
@@ -337,127 +341,130 @@
 				coordinator = i
 			}
 		}
-		type flying struct {
+		type datagram struct {
 			at   float64
 			from int
 			b    []byte
 		}
-		var air []flying
-		settle := func(i int, lossless bool) {
+		var inTransit []datagram
+		send := func(i int, lossless bool) {
 			for _, s := range tables[i].Effects().Sends {
 				for to := range routers {
 					switch {
 					case to == i || s.To != All && s.To != to:
 					case i == coordinator:
 						tables[to].Receive(i, s.Bytes, now)
-					case to == coordinator && (lossless || rng.Float64() >= loses):
+					case to == coordinator && (lossless || rng.Float64() >= lossRate):
 						for range 1 + rng.Intn(20)/19 {
 							late := map[bool]float64{true: 1, false: 0.005}[rng.Intn(50) == 0]
-							air = append(air, flying{now + rng.Float64()*late, i, s.Bytes})
+							inTransit = append(inTransit, datagram{now + rng.Float64()*late, i, s.Bytes})
 						}
 					}
 				}
 			}
 		}
-		lands := func(until float64) {
+		arriveUntil := func(until float64) {
 			for {
 				next := -1
-				for k, f := range air {
-					if f.at <= until && (next < 0 || f.at < air[next].at) {
+				for k, f := range inTransit {
+					if f.at <= until && (next < 0 || f.at < inTransit[next].at) {
 						next = k
 					}
 				}
 				if next < 0 {
 					break
 				}
-				f := air[next]
-				air = slices.Delete(air, next, next+1)
+				f := inTransit[next]
+				inTransit = slices.Delete(inTransit, next, next+1)
 				now = max(now, f.at)
 				tables[coordinator].Receive(f.from, f.b, now)
-				settle(coordinator, false)
+				send(coordinator, false)
 			}
 			now = max(now, until)
 			tables[coordinator].Step(now)
-			settle(coordinator, false)
+			send(coordinator, false)
 		}
-		outs := make([]int, routers)
-		submits := func(i int, lossless bool) {
+		inFlight := make([]int, routers)
+		submit := func(i int, lossless bool) {
 			tables[i].RecordStart(0, now)
-			outs[i]++
-			settle(i, lossless)
+			inFlight[i]++
+			send(i, lossless)
 		}
-		ends := func(i int, lossless bool) {
+		finish := func(i int, lossless bool) {
 			tables[i].RecordFinish(0, now, false, now)
-			outs[i]--
-			settle(i, lossless)
+			inFlight[i]--
+			send(i, lossless)
 		}
-		wanted := func() {
+		requestCoordination := func() {
 			tables[coordinator].AwaitPrimary(0, now)
-			lands(now + 0.01)
+			arriveUntil(now + 0.01)
 		}
 		tables[coordinator].Observe(0, now, false, now)
-		wanted()
-		for _, does := range []func(int, bool){submits, ends} { // what a router had out before it is heard is not known
+		requestCoordination()
+		// The coordinator does not know what a router had in flight before its first message.
+		for _, act := range []func(int, bool){submit, finish} {
 			for i := range routers {
-				does(i, true)
+				act(i, true)
 			}
-			lands(now + 1)
-			wanted()
+			arriveUntil(now + 1)
+			requestCoordination()
 		}
 		for range rapid.IntRange(10, 150).Draw(rt, "steps") {
-			if i := rng.Intn(routers); outs[i] > 0 && rng.Intn(2) == 0 {
-				ends(i, false)
+			if i := rng.Intn(routers); inFlight[i] > 0 && rng.Intn(2) == 0 {
+				finish(i, false)
 			} else {
-				submits(i, false)
+				submit(i, false)
 			}
-			lands(now + rng.Float64()*0.004)
+			arriveUntil(now + rng.Float64()*0.004)
 			tables[coordinator].Observe(0, now, false, now)
-			wanted()
+			requestCoordination()
 		}
 		for i := range routers {
-			submits(i, true)
-			submits(i, true)
-			ends(i, true)
+			submit(i, true)
+			submit(i, true)
+			finish(i, true)
 		}
-		lands(now + 1)
+		arriveUntil(now + 1)
 		want := 0
-		for _, n := range outs {
+		for _, n := range inFlight {
 			want += n
 		}
 		if got := tables[coordinator].nodes[0].load(now); got != want {
-			rt.Fatalf("%d are in flight (%d), the coordinator counts %d", want, outs, got)
+			rt.Fatalf("%d submissions are in flight (by router: %d), the coordinator counts %d", want, inFlight, got)
 		}
 	})
 }
 
-// TestCoordinators: each router coordinates about its even part of the groups, and one that is unreachable hands on only its own.
-func TestCoordinators(t *testing.T) {
+// TestGroupsAreSpreadOverCoordinators checks that each router coordinates about the same number of groups, and that only the groups
+// of an unreachable router move.
+func TestGroupsAreSpreadOverCoordinators(t *testing.T) {
 	const routers, groups = 30, 3000
 	b := New(Config{Self: 0, Routers: routers, Bound: bound})
-	kept := make([]int, routers)
-	was := make([]int, groups)
+	groupCounts := make([]int, routers)
+	before := make([]int, groups)
 	for g := range groups {
-		was[g] = b.chooseCoordinator(b.group(g), 0)
-		kept[was[g]]++
+		before[g] = b.chooseCoordinator(b.group(g), 0)
+		groupCounts[before[g]]++
 	}
-	require.Less(t, slices.Max(kept), 2*groups/routers)
-	require.Greater(t, slices.Min(kept), groups/routers/2)
+	require.Less(t, slices.Max(groupCounts), 2*groups/routers)
+	require.Greater(t, slices.Min(groupCounts), groups/routers/2)
 	b.unreachableUntil[7] = math.Inf(1)
 	for g := range groups {
-		if now := b.chooseCoordinator(b.group(g), 0); was[g] != 7 {
-			require.Equal(t, was[g], now)
+		if now := b.chooseCoordinator(b.group(g), 0); before[g] != 7 {
+			require.Equal(t, before[g], now)
 		} else {
 			require.NotEqual(t, 7, now)
 		}
 	}
 }
 
-func FuzzParse(f *testing.F) {
-	f.Add(encode(kindUpdate, 3, 1, []*node{{key: 7, position: 1e9}, {key: 9, position: 1e9 - 0.1, primaryPosition: 1e9}}, bound/ageSteps, 1e9))
+func FuzzDecode(f *testing.F) {
+	f.Add(encode(kindUpdate, 3, 1, []*node{{nameHash: 7, position: 1e9}, {nameHash: 9, position: 1e9 - 0.1, primaryPosition: 1e9}},
+		bound/ageSteps, 1e9))
 	f.Add([]byte{byte(kindSubscribe)})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if m, err := decode(b, 1e9, bound/ageSteps); err == nil {
-			require.Len(t, m.positions, len(m.keys))
+			require.Len(t, m.positions, len(m.nameHashes))
 			for _, pos := range m.positions {
 				require.LessOrEqual(t, pos, 1e9+maxClockAhead)
 			}
--- a/peerstate/updates.go
+++ b/peerstate/updates.go
@@ -1,13 +1,13 @@
 package peerstate
 
-// This file owns what routers exchange on a group: messages that come, updates that go, and probes for all. It must never
-// publish a position that proves nothing.
+// This file handles what routers exchange on a group: incoming messages, outgoing updates, and probes on behalf of all routers.
+// It must never publish a position too old to prove anything.
 
 import (
 	"slices"
 )
 
-// Receive takes a datagram that came from the address of a peer, and tells whether it was one of ours.
+// Receive processes a datagram from the address of a peer, and tells whether it was well-formed and named that peer as its sender.
 func (t *Table) Receive(from int, datagram []byte, now float64) bool {
 	m, err := decode(datagram, now, t.ageUnit())
 	if err != nil || m.from != from || from == t.config.Self || from < 0 || from >= len(t.unreachableUntil) {
@@ -29,26 +29,26 @@
 	case kindSubscribe, kindSubscribeNow, kindSeekPrimary:
 		t.coordinate(g, m.kind == kindSeekPrimary, now)
 		if m.kind == kindSubscribeNow {
-			if all := t.provable(g, now, false); len(all) > 0 {
+			if known := t.publishable(g, now, false); len(known) > 0 {
 				t.counts.Replies++
-				t.send(from, kindUpdate, g, all, now)
+				t.send(from, kindUpdate, g, known, now)
 			}
 		}
 	case kindReport, kindStarted, kindFinished:
 		if now < g.coordinateUntil && len(states) > 0 {
-			t.effects.Updates = append(t.effects.Updates, Update{Group: g.id, Until: now + missedUpdates*t.interval, Heard: true, Nodes: states})
+			t.effects.Updates = append(t.effects.Updates, Update{Group: g.id, Until: now + maxMissedUpdates*t.interval, Heard: true, Nodes: states})
 		}
 	case kindUpdate:
 		if now < g.coordinateUntil && rank(g.id, from) > rank(g.id, t.config.Self) {
-			g.coordinateUntil, g.subscribers = 0, nil // it comes first; whoever can't hear it asks us again
+			g.coordinateUntil, g.subscribers = 0, nil // the sender ranks higher; a router that can't hear it will ask this one again
 		}
 		if !t.hasCoordinator(g, now) || g.coordinator < 0 || from == g.coordinator || rank(g.id, from) > rank(g.id, g.coordinator) {
 			g.coordinator = from
 		}
-		if g.asked >= 0 && g.heardAt < g.askedAt {
+		if g.askedRouter >= 0 && g.updateReceivedAt < g.requestedAt {
 			t.replyShare += replyGain * (1 - t.replyShare)
 		}
-		g.heardAt = now
+		g.updateReceivedAt = now
 		for i, s := range states {
 			n := t.nodes[s.Node]
 			n.publishedPosition = max(n.publishedPosition, s.Pos)
@@ -56,28 +56,28 @@
 				continue
 			}
 			if now-m.positions[i] < freshShare*t.interval {
-				n.reportPart = max(minReportPart, n.reportPart*reportDecrease)
+				n.reportProbability = max(minReportProbability, n.reportProbability*reportProbabilityDecrease)
 			} else {
-				n.reportPart = min(1, n.reportPart*reportIncrease)
+				n.reportProbability = min(1, n.reportProbability*reportProbabilityIncrease)
 			}
 		}
-		t.effects.Updates = append(t.effects.Updates, Update{Group: g.id, Until: now + missedUpdates*t.interval, Heard: true, Nodes: states})
+		t.effects.Updates = append(t.effects.Updates, Update{Group: g.id, Until: now + maxMissedUpdates*t.interval, Heard: true, Nodes: states})
 	}
 	return true
 }
 
-// nodeStates takes in what a message says of members, and keeps of the message what they are. A key that two members share says
-// nothing of either.
-func (t *Table) nodeStates(g *group, m *message, now float64) (out []NodeState) {
-	kept := m.positions[:0]
-	for i, key := range m.keys {
+// nodeStates records and returns what a message says of members, and removes the other entries from the positions of the
+// message. A key that two members share is ignored.
+func (t *Table) nodeStates(g *group, m *message, now float64) (states []NodeState) {
+	keptPositions := m.positions[:0]
+	for i, nameHash := range m.nameHashes {
 		var n *node
-		for _, x := range g.members {
-			if x.key == key && n != nil {
+		for _, member := range g.members {
+			if member.nameHash == nameHash && n != nil {
 				n = nil
 				break
-			} else if x.key == key {
-				n = x
+			} else if member.nameHash == nameHash {
+				n = member
 			}
 		}
 		if n == nil || m.positions[i] > now+maxClockAhead {
@@ -94,33 +94,33 @@
 			s.Load = n.load(now)
 		}
 		t.learn(n, s.Pos, s.Primary, now)
-		out = append(out, s)
-		kept = append(kept, m.positions[i])
+		states = append(states, s)
+		keptPositions = append(keptPositions, m.positions[i])
 	}
-	m.positions = kept
-	return out
+	m.positions = keptPositions
+	return states
 }
 
-// provable are the members of which there is something to publish: a position young enough to prove something, a primary.
-func (t *Table) provable(g *group, now float64, fresh bool) (all []*node) {
+// publishable returns the members with a position young enough to prove something; with onlyNew, those with an unpublished one.
+func (t *Table) publishable(g *group, now float64, onlyNew bool) (found []*node) {
 	for _, n := range g.members {
-		if now-n.position < t.config.Bound && (!fresh || n.position > n.publishedPosition) {
-			all = append(all, n)
+		if now-n.position < t.config.Bound && (!onlyNew || n.position > n.publishedPosition) {
+			found = append(found, n)
 		}
 	}
-	return all
+	return found
 }
 
-// subscribe notes that a router has a use for updates of a group.
+// subscribe records that a router has a use for updates of a group.
 func (g *group) subscribe(router int, now float64) {
 	if g.subscribers != nil {
 		g.subscribers[router] = now
 	}
 }
 
-// publish sends an update to the routers that have had a use for the group of late, or to all where most have. Its successors
-// get it, too: two that coordinate one group must come to know of each other.
-func (t *Table) publish(g *group, all []*node, now float64) {
+// publish sends an update to the routers that recently had a use for the group, or to all if many had (broadcastShare). The
+// successors get it, too, so that two routers that coordinate the same group learn of each other.
+func (t *Table) publish(g *group, news []*node, now float64) {
 	var to []int
 	for r, at := range g.subscribers {
 		if r != t.config.Self && (now-at < subscriptionTime || slices.Contains(t.successorsOf(g), r)) {
@@ -131,22 +131,22 @@
 		to = []int{All}
 	}
 	for _, r := range to {
-		t.send(r, kindUpdate, g, all, now)
+		t.send(r, kindUpdate, g, news, now)
 	}
 }
 
-// probe probes for all: while a txn waits for a primary, or none is known, every member; else, as far as requests have paid
-// for it, those of which nobody has reported anything for a while, the longest first.
-func (t *Table) probe(g *group, now float64) {
-	known := false
+// probeMembers probes on behalf of all routers. While a txn waits for a primary, or none is known, it probes every member;
+// otherwise, within the probe budget, those without a newer position for a while, the longest without one first.
+func (t *Table) probeMembers(g *group, now float64) {
+	hasKnownPrimary := false
 	for _, n := range g.members {
-		known = known || n.primaryPosition > 0
+		hasKnownPrimary = hasKnownPrimary || n.primaryPosition > 0
 	}
-	whole := now < g.primarySoughtUntil || !known
-	for whole || g.probeBudget >= 1 {
+	probeAll := now < g.primarySoughtUntil || !hasKnownPrimary
+	for probeAll || g.probeBudget >= 1 {
 		var oldest *node
 		for _, n := range g.members {
-			due := now-n.probedAt >= probeAgain && (whole || now-n.positionAt > probeAfter*t.config.Bound)
+			due := now-n.probedAt >= minProbeInterval && (probeAll || now-n.positionAt > probeAgeShare*t.config.Bound)
 			if due && (oldest == nil || n.positionAt < oldest.positionAt) {
 				oldest = n
 			}
@@ -154,7 +154,7 @@
 		if oldest == nil {
 			return
 		}
-		if !whole {
+		if !probeAll {
 			g.probeBudget--
 		}
 		oldest.probedAt = now
