--- a/splitter/scenario_test.go
+++ b/splitter/scenario_test.go
@@ -12,20 +12,20 @@
 	"eiderway/testing/scenario"
 )
 
-// world is the Host of a scenario: it keeps what the router did and plays what is said of the nodes.
-type world struct {
-	t      *testing.T
-	where  string
-	now    float64
-	router *Router
-	names  []string
-	roles  map[string][]string // what a node tells when probed; none: it does not answer
-	then   map[int]func(Result)
-	sent   map[int]float64
-	cut    map[int]float64 // how long a submission may take
-	over   map[int]bool
-	timers []timer
-	did    []string
+// fakeHost is the Host of a scenario: it records the actions of the router and answers for the nodes.
+type fakeHost struct {
+	t       *testing.T
+	place   string
+	now     float64
+	router  *Router
+	names   []string
+	reports map[string][]string // what a node reports when probed; none: it does not answer
+	results map[int]func(Result)
+	sentAt  map[int]float64
+	allowed map[int]float64 // time allowed for a submission
+	ended   map[int]bool
+	timers  []timer
+	actions []string
 }
 
 type timer struct {
@@ -33,87 +33,89 @@
 	then func()
 }
 
-func (w *world) Now() float64 { return w.now }
+func (h *fakeHost) Now() float64 { return h.now }
 
-func (w *world) Submit(txn, node int, until float64, then func(Result)) {
-	require.Nil(w.t, w.then[txn], "%s: two submissions of %d out", w.where, txn)
-	require.False(w.t, w.over[txn], "%s: %d submitted after its end", w.where, txn)
-	w.then[txn], w.sent[txn], w.cut[txn] = then, w.now, until-w.now
-	w.do("submit %d %s", txn, w.names[node])
+func (h *fakeHost) Submit(txn, node int, until float64, then func(Result)) {
+	require.Nil(h.t, h.results[txn], "%s: two submissions of txn %d in flight", h.place, txn)
+	require.False(h.t, h.ended[txn], "%s: txn %d submitted after its end", h.place, txn)
+	h.results[txn], h.sentAt[txn], h.allowed[txn] = then, h.now, until-h.now
+	h.record("submit %d %s", txn, h.names[node])
 }
 
-func (w *world) end(txn int, how string) {
-	require.False(w.t, w.over[txn], "%s: %d answered twice", w.where, txn)
-	w.over[txn] = true
-	w.do("%s %d", how, txn)
+func (h *fakeHost) finish(txn int, how string) {
+	require.False(h.t, h.ended[txn], "%s: txn %d answered twice", h.place, txn)
+	h.ended[txn] = true
+	h.record("%s %d", how, txn)
 }
 
-func (w *world) Cancel(txn int)                { w.do("cancel %d", txn) }
-func (w *world) Decline(txn int, _ float64)    { w.end(txn, "decline") }
-func (w *world) RollBack(txn int)              { w.end(txn, "rollback") }
-func (w *world) CloseIdle(node int)            { w.do("close %s", w.names[node]) }
-func (w *world) Forget(node int)               { w.do("forget %s", w.names[node]) }
-func (w *world) Watch()                        { w.do("watch") }
-func (w *world) After(at float64, then func()) { w.timers = append(w.timers, timer{at, then}) }
-func (w *world) Note(string)                   {}
-func (w *world) do(f string, args ...any)      { w.did = append(w.did, fmt.Sprintf(f, args...)) }
+func (h *fakeHost) Cancel(txn int)                { h.record("cancel %d", txn) }
+func (h *fakeHost) Decline(txn int, _ float64)    { h.finish(txn, "decline") }
+func (h *fakeHost) RollBack(txn int)              { h.finish(txn, "rollback") }
+func (h *fakeHost) CloseIdle(node int)            { h.record("close %s", h.names[node]) }
+func (h *fakeHost) Forget(node int)               { h.record("forget %s", h.names[node]) }
+func (h *fakeHost) Watch()                        { h.record("watch") }
+func (h *fakeHost) After(at float64, then func()) { h.timers = append(h.timers, timer{at, then}) }
+func (h *fakeHost) Note(string)                   {}
+func (h *fakeHost) record(f string, args ...any) {
+	h.actions = append(h.actions, fmt.Sprintf(f, args...))
+}
 
-func (w *world) RequestPeerProbes(int) { w.do("want") }
+func (h *fakeHost) RequestPeerProbes(int) { h.record("want") }
 
-func (w *world) Count(what Counter, why Cause) { w.do("count %s %s", what, why) }
+func (h *fakeHost) Count(what Counter, why Cause) { h.record("count %s %s", what, why) }
 
-func (w *world) Probe(node int, why Cause, then func(Report)) {
-	name := w.names[node]
-	w.do("probe %s %s", name, why)
-	w.After(w.now+0.001, func() {
-		if role := w.roles[name]; role != nil {
-			then(w.report(role))
+func (h *fakeHost) Probe(node int, why Cause, then func(Report)) {
+	name := h.names[node]
+	h.record("probe %s %s", name, why)
+	h.After(h.now+0.001, func() {
+		if role := h.reports[name]; role != nil {
+			then(h.report(role))
 		} else {
 			then(Report{Load: -1})
 		}
 	})
 }
 
-// report reads "primary", or "replica LAG", or "unclear".
-func (w *world) report(words []string) Report {
+// report parses "primary", "replica LAG" or "unclear".
+func (h *fakeHost) report(words []string) Report {
 	r := Report{OK: true, Load: -1}
 	if len(words) > 0 {
 		switch words[0] {
 		case "primary":
-			r.Role, r.Pos = RolePrimary, w.now
+			r.Role, r.Pos = RolePrimary, h.now
 		case "replica":
-			r.Role, r.Pos = RoleReplica, w.now-w.number(words[1])
+			r.Role, r.Pos = RoleReplica, h.now-h.number(words[1])
 		}
 	}
 	return r
 }
 
-func (w *world) number(s string) float64 {
+func (h *fakeHost) number(s string) float64 {
 	x, err := strconv.ParseFloat(s, 64)
-	require.NoError(w.t, err, w.where)
+	require.NoError(h.t, err, h.place)
 	return x
 }
 
-func (w *world) pass(span float64) {
-	for end := w.now + span; ; {
+func (h *fakeHost) advance(span float64) {
+	for end := h.now + span; ; {
 		i := -1
-		for k, t := range w.timers {
-			if t.at <= end && (i < 0 || t.at < w.timers[i].at) {
+		for k, t := range h.timers {
+			if t.at <= end && (i < 0 || t.at < h.timers[i].at) {
 				i = k
 			}
 		}
 		if i < 0 {
-			w.now = end
+			h.now = end
 			return
 		}
-		t := w.timers[i]
-		w.timers = slices.Delete(w.timers, i, i+1)
-		w.now = max(w.now, t.at)
+		t := h.timers[i]
+		h.timers = slices.Delete(h.timers, i, i+1)
+		h.now = max(h.now, t.at)
 		t.then()
 	}
 }
 
-var types = []TxnType{
+var txnTypes = []TxnType{
 	{Need: NeedBounded, Bound: 0.2, SLA: 0.4, Value: 1},
 	{Need: NeedPrimary, Effect: Referenced, Window: 2, SLA: 1, Value: 6, LateValue: 0.5},
 	{Need: NeedPrimary, Effect: OnceOnly, SLA: 1, Value: 6, LateValue: 0.5},
@@ -130,31 +132,31 @@
 var outcomeNames = map[string]Outcome{"committed": Committed, "failed": Failed, "timedout": TimedOut,
 	"broken": Broken, "cancelled": Cancelled, "missed": Missed, "full": Full, "noconn": NoConn, "unknown": Unknown, "answered": Answered}
 
-// play runs one line of a scenario. The notation:
+// runLine runs one line of a scenario. The notation:
 //
 //	router [check] [drainonly] [ask] [noprobes] [kept] [of=N] [me=N]  a new router
 //	list|news NAME[=draining|gone|cold] ...   the full list, or changes of it
-//	refused, moved                            a watch was refused; the list is to be had elsewhere
-//	node NAME primary|replica LAG|unclear|silent    what it tells from now on when probed
+//	refused, moved                            a watch was refused; the list is served elsewhere
+//	node NAME primary|replica LAG|unclear|silent    what it reports from now on when probed
 //	txn ID TYPE [EXPIRY [COST]]               a txn of session 7 arrives
-//	again ID TYPE [EXPIRY [COST]]             the same, tried again by its client
+//	again ID TYPE [EXPIRY [COST]]             the same, marked by its client as a retry
 //	answer ID OUTCOME [as=TYPE] [primary|replica LAG]   its submission ends; it proved to be of that type
-//	cut ID SECONDS                            its submission is waited for as long
+//	cut ID SECONDS                            its submission was allowed this time
 //	wait SECONDS, stall SECONDS               time passes, the second without the router being run
-//	doubt NAME SECONDS                        peers doubt it for as long
-//	told SECONDS [[primary:]NAME[=LOAD] AGE] ...  peers look at the group for as long; what they say of positions; a
-//	                                          load has as many letters as submissions are out there
-//	look NAME                                 they want to know of it
-//	expect WHAT                               it did this since the last expect; names may be A|B
+//	doubt NAME SECONDS                        peers doubt the node for this time
+//	told SECONDS [[primary:]NAME[=LOAD] AGE] ...  peers probe the group for this time, and report positions of this age;
+//	                                          a load has as many letters as submissions are in flight there
+//	look NAME                                 peers want to know the state of the node
+//	expect WHAT                               the router did this since the last expect; names may be A|B
 //	never WHAT                                it did not
-//	most N WHAT                               it did this N times at most
-//	held ID ...                               txns neither out nor over
-func (w *world) play(f []string) {
-	switch f[0] {
+//	most N WHAT                               it did this at most N times
+//	held ID ...                               these txns are neither in flight nor ended
+func (h *fakeHost) runLine(fields []string) {
+	switch fields[0] {
 	case "router":
-		t := Terms{Seed: 1, Routers: 1, Types: types, CanProbe: true, ProbeRoles: true, CanCancel: true,
+		t := Terms{Seed: 1, Routers: 1, Types: txnTypes, CanProbe: true, ProbeRoles: true, CanCancel: true,
 			MaxSubmissions: 8, MaxPause: 1, ColdFrom: 0.2, WarmAfter: 16, Overload: 3, OverloadOutage: 2, ConnectTimeout: 0.25, IdleTimeout: 15}
-		for _, o := range f[1:] {
+		for _, o := range fields[1:] {
 			name, n, _ := strings.Cut(o, "=")
 			switch name {
 			case "check":
@@ -168,109 +170,109 @@
 			case "kept":
 				t.TrackSessions = true
 			case "me":
-				t.Self = int(w.number(n))
+				t.Self = int(h.number(n))
 			case "of":
-				t.Routers = int(w.number(n))
+				t.Routers = int(h.number(n))
 			default:
-				require.Fail(w.t, "unknown option", "%s: %s", w.where, o)
+				require.Fail(h.t, "unknown option", "%s: %s", h.place, o)
 			}
 		}
-		w.router = New(t, w)
+		h.router = New(t, h)
 	case "list", "news":
 		var list []Member
-		for _, m := range f[1:] {
+		for _, m := range fields[1:] {
 			name, state, _ := strings.Cut(m, "=")
-			i := slices.Index(w.names, name)
+			i := slices.Index(h.names, name)
 			if i < 0 {
-				i = len(w.names)
-				w.names = append(w.names, name)
+				i = len(h.names)
+				h.names = append(h.names, name)
 			}
 			e := Member{Node: i, Name: name, State: map[string]State{"draining": Draining, "gone": Gone}[state]}
 			if state == "cold" {
-				e.StartedAt = w.now
+				e.StartedAt = h.now
 			}
 			list = append(list, e)
 		}
-		w.router.UpdateMembers(map[string]ListKind{"list": ListAll, "news": ListChanges}[f[0]], list)
+		h.router.UpdateMembers(map[string]ListKind{"list": ListAll, "news": ListChanges}[fields[0]], list)
 	case "refused", "moved":
-		w.router.UpdateMembers(map[string]ListKind{"refused": ListRefused, "moved": ListMoved}[f[0]], nil)
+		h.router.UpdateMembers(map[string]ListKind{"refused": ListRefused, "moved": ListMoved}[fields[0]], nil)
 	case "node":
-		w.roles[f[1]] = f[2:]
-		if f[2] == "silent" {
-			delete(w.roles, f[1])
+		h.reports[fields[1]] = fields[2:]
+		if fields[2] == "silent" {
+			delete(h.reports, fields[1])
 		}
 	case "txn", "again":
-		typ := slices.Index(typeNames, f[2])
-		require.GreaterOrEqual(w.t, typ, 0, w.where)
-		x := Txn{ID: int(w.number(f[1])), Type: typ, Deadline: w.now + 10, Session: 7, IsRetry: f[0] == "again"}
-		if len(f) > 3 {
-			x.Deadline = w.now + w.number(f[3])
+		typ := slices.Index(typeNames, fields[2])
+		require.GreaterOrEqual(h.t, typ, 0, h.place)
+		x := Txn{ID: int(h.number(fields[1])), Type: typ, Deadline: h.now + 10, Session: 7, IsRetry: fields[0] == "again"}
+		if len(fields) > 3 {
+			x.Deadline = h.now + h.number(fields[3])
 		}
-		if len(f) > 4 {
-			x.Cost = w.number(f[4])
+		if len(fields) > 4 {
+			x.Cost = h.number(fields[4])
 		}
-		w.router.Arrive(x)
+		h.router.Arrive(x)
 	case "answer":
-		id := int(w.number(f[1]))
-		then := w.then[id]
-		require.NotNil(w.t, then, "%s: %d is not out", w.where, id)
-		delete(w.then, id)
-		outcome, ok := outcomeNames[f[2]]
-		require.True(w.t, ok, w.where)
-		w.over[id] = w.over[id] || outcome == Committed || outcome == Answered
-		f, as := f[3:], 0
+		id := int(h.number(fields[1]))
+		then := h.results[id]
+		require.NotNil(h.t, then, "%s: txn %d is not in flight", h.place, id)
+		delete(h.results, id)
+		outcome, ok := outcomeNames[fields[2]]
+		require.True(h.t, ok, h.place)
+		h.ended[id] = h.ended[id] || outcome == Committed || outcome == Answered
+		f, as := fields[3:], 0
 		if len(f) > 0 && strings.HasPrefix(f[0], "as=") {
 			as = 1 + slices.Index(typeNames, f[0][len("as="):])
-			require.Positive(w.t, as, w.where)
+			require.Positive(h.t, as, h.place)
 			f = f[1:]
 		}
-		then(Result{Outcome: outcome, Latency: w.now - w.sent[id], Ended: w.over[id], ProvedType: as, Report: w.report(f)})
+		then(Result{Outcome: outcome, Latency: h.now - h.sentAt[id], Ended: h.ended[id], ProvedType: as, Report: h.report(f)})
 	case "doubt":
-		w.router.Doubt(slices.Index(w.names, f[1]), w.now+w.number(f[2]))
-	case "told": // until, then words
-		var words []PeerReport
-		for i := 2; i < len(f); i += 2 {
-			name, primary := strings.CutPrefix(f[i], "primary:")
+		h.router.Doubt(slices.Index(h.names, fields[1]), h.now+h.number(fields[2]))
+	case "told": // the time, then the reports
+		var reports []PeerReport
+		for i := 2; i < len(fields); i += 2 {
+			name, primary := strings.CutPrefix(fields[i], "primary:")
 			name, load, _ := strings.Cut(name, "=")
-			words = append(words, PeerReport{Node: slices.Index(w.names, name), Pos: w.now - w.number(f[i+1]), Primary: primary, Load: len(load)})
+			reports = append(reports, PeerReport{Node: slices.Index(h.names, name), Pos: h.now - h.number(fields[i+1]), Primary: primary, Load: len(load)})
 		}
-		w.router.ApplyPeerReports(0, w.now+w.number(f[1]), len(words) > 0, words)
+		h.router.ApplyPeerReports(0, h.now+h.number(fields[1]), len(reports) > 0, reports)
 	case "look":
-		w.router.ProbeMember(slices.Index(w.names, f[1]), ForAll)
+		h.router.ProbeMember(slices.Index(h.names, fields[1]), ForAll)
 	case "cut":
-		require.InDelta(w.t, w.number(f[2]), w.cut[int(w.number(f[1]))], 0.01, w.where)
+		require.InDelta(h.t, h.number(fields[2]), h.allowed[int(h.number(fields[1]))], 0.01, h.place)
 	case "wait":
-		w.pass(w.number(f[1]))
+		h.advance(h.number(fields[1]))
 	case "stall":
-		w.now += w.number(f[1])
+		h.now += h.number(fields[1])
 	case "expect":
-		i := slices.IndexFunc(w.did, func(s string) bool { return matches(s, f[1:]) })
-		require.GreaterOrEqual(w.t, i, 0, "%s: wanted %v in %v", w.where, f[1:], w.did)
-		w.did = w.did[i+1:]
+		i := slices.IndexFunc(h.actions, func(s string) bool { return matches(s, fields[1:]) })
+		require.GreaterOrEqual(h.t, i, 0, "%s: wanted %v in %v", h.place, fields[1:], h.actions)
+		h.actions = h.actions[i+1:]
 	case "never":
-		i := slices.IndexFunc(w.did, func(s string) bool { return matches(s, f[1:]) })
-		require.Less(w.t, i, 0, "%s: %v in %v", w.where, f[1:], w.did)
+		i := slices.IndexFunc(h.actions, func(s string) bool { return matches(s, fields[1:]) })
+		require.Less(h.t, i, 0, "%s: %v in %v", h.place, fields[1:], h.actions)
 	case "most":
 		count := 0
-		for _, s := range w.did {
-			if matches(s, f[2:]) {
+		for _, s := range h.actions {
+			if matches(s, fields[2:]) {
 				count++
 			}
 		}
-		require.LessOrEqual(w.t, float64(count), w.number(f[1]), "%s: %v", w.where, w.did)
+		require.LessOrEqual(h.t, float64(count), h.number(fields[1]), "%s: %v", h.place, h.actions)
 	case "held":
-		for _, s := range f[1:] {
-			id := int(w.number(s))
-			require.True(w.t, w.then[id] == nil && !w.over[id], "%s: %d is not held; %v", w.where, id, w.did)
+		for _, s := range fields[1:] {
+			id := int(h.number(s))
+			require.True(h.t, h.results[id] == nil && !h.ended[id], "%s: txn %d is not held; %v", h.place, id, h.actions)
 		}
 	default:
-		require.Fail(w.t, "unknown line", "%s: %v", w.where, f)
+		require.Fail(h.t, "unknown line", "%s: %v", h.place, fields)
 	}
 }
 
-// matches compares an act with a pattern word by word; a pattern may be shorter.
-func matches(act string, pattern []string) bool {
-	words := strings.Fields(act)
+// matches compares an action with a pattern word by word; the pattern may be shorter.
+func matches(action string, pattern []string) bool {
+	words := strings.Fields(action)
 	if len(pattern) > len(words) {
 		return false
 	}
@@ -284,11 +286,11 @@
 
 func TestScenarios(t *testing.T) {
 	scenario.Each(t, func(t *testing.T, path string) {
-		w := &world{t: t, now: 1000, roles: map[string][]string{}, then: map[int]func(Result){},
-			sent: map[int]float64{}, cut: map[int]float64{}, over: map[int]bool{}}
+		h := &fakeHost{t: t, now: 1000, reports: map[string][]string{}, results: map[int]func(Result){},
+			sentAt: map[int]float64{}, allowed: map[int]float64{}, ended: map[int]bool{}}
 		for _, line := range scenario.MustRead(t, path) {
-			w.where = line.Place
-			w.play(line.Words)
+			h.place = line.Place
+			h.runLine(line.Words)
 		}
 	})
 }
