--- a/peerstate/api.go
+++ b/peerstate/api.go
@@ -11,6 +11,9 @@
 // Messages carry facts with their own date: a position that a node has named, which holds from then on, whatever happens to
 // the message. So a message that is late, duplicated, reordered or from before a restart does no harm; it only proves less. A
 // role in a message is a hint which node to ask. The alternatives are compared in docs/knowing.md.
+//
+// A read with a staleness bound needs a proof that a replica is fresh enough: a position of it that is younger than the
+// bound. A router has a proof of its own if the replica named that position to this router itself.
 package peerstate
 
 // All addresses every other router.
--- a/peerstate/peerstate_test.go
+++ b/peerstate/peerstate_test.go
@@ -260,11 +260,11 @@
 		}
 		var inTransit []datagram
 		for i := range routers {
-			b := New(Config{Self: i, Routers: routers, Seed: int64(i), Bound: bound})
+			table := New(Config{Self: i, Routers: routers, Seed: int64(i), Bound: bound})
 			for n := range nodes {
-				b.AddNode(n, fmt.Sprint(n), 0)
+				table.AddNode(n, fmt.Sprint(n), 0)
 			}
-			tables = append(tables, b)
+			tables = append(tables, table)
 		}
 		handleEffects := func(i int) {
 			e := tables[i].Effects()
@@ -334,9 +334,9 @@
 		coordinator := -1
 		var tables []*Table
 		for i := range routers {
-			b := New(Config{Self: i, Routers: routers, Seed: int64(i), Bound: bound})
-			b.AddNode(0, "a", 0)
-			tables = append(tables, b)
+			table := New(Config{Self: i, Routers: routers, Seed: int64(i), Bound: bound})
+			table.AddNode(0, "a", 0)
+			tables = append(tables, table)
 			if coordinator < 0 || rank(0, i) > rank(0, coordinator) {
 				coordinator = i
 			}
@@ -439,18 +439,18 @@
 // of an unreachable router move.
 func TestGroupsAreSpreadOverCoordinators(t *testing.T) {
 	const routers, groups = 30, 3000
-	b := New(Config{Self: 0, Routers: routers, Bound: bound})
+	table := New(Config{Self: 0, Routers: routers, Bound: bound})
 	groupCounts := make([]int, routers)
 	before := make([]int, groups)
 	for g := range groups {
-		before[g] = b.chooseCoordinator(b.group(g), 0)
+		before[g] = table.chooseCoordinator(table.group(g), 0)
 		groupCounts[before[g]]++
 	}
 	require.Less(t, slices.Max(groupCounts), 2*groups/routers)
 	require.Greater(t, slices.Min(groupCounts), groups/routers/2)
-	b.unreachableUntil[7] = math.Inf(1)
+	table.unreachableUntil[7] = math.Inf(1)
 	for g := range groups {
-		if now := b.chooseCoordinator(b.group(g), 0); before[g] != 7 {
+		if now := table.chooseCoordinator(table.group(g), 0); before[g] != 7 {
 			require.Equal(t, before[g], now)
 		} else {
 			require.NotEqual(t, 7, now)
