--- a/control/failover/api.go
+++ b/control/failover/api.go
@@ -7,13 +7,13 @@
 	"eiderway/control/guard"
 )
 
-// ProbeKind is what is asked of an instance.
+// ProbeKind is the statement that a probe sends to an instance.
 type ProbeKind int
 
 const (
 	// AskStatus reads role, term and position (STATUS).
 	AskStatus ProbeKind = iota
-	// AskPause keeps a replica from receiving (PAUSE term).
+	// AskPause stops a replica from receiving log entries (PAUSE term).
 	AskPause
 	// AskContinue ends a pause (CONTINUE).
 	AskContinue
@@ -21,13 +21,13 @@
 	AskStepDown
 )
 
-// Position is a place in an instance's log.
+// Position is a position in an instance's log.
 type Position struct {
 	Term   uint64
 	Number uint64
 }
 
-// Less tells whether a comes before b.
+// Less reports whether a comes before b.
 func (a Position) Less(b Position) bool {
 	if a.Term != b.Term {
 		return a.Term < b.Term
@@ -46,7 +46,7 @@
 	Connections int
 }
 
-// Probe is a question to an instance that the host carries out.
+// Probe is a question to an instance. The host sends it.
 type Probe struct {
 	Number     uint64
 	Kind       ProbeKind
@@ -56,7 +56,7 @@
 	Address    string
 }
 
-// ProbeResult ends a probe.
+// ProbeResult is the outcome of a probe.
 type ProbeResult struct {
 	Number  uint64
 	Answer  ProbeAnswer
@@ -72,13 +72,13 @@
 	Answered ProbeAnswer = iota
 	// Busy: the instance is there but has no slot or connection to spare.
 	Busy
-	// Refused: the connection was refused or reset before the question was sent, or another instance is there.
+	// Refused: the connection was refused or reset before the question was sent, or another instance answers at the address.
 	Refused
-	// Silent: no answer in time, or the connection broke after the question was sent; it may have been carried out.
+	// Silent: no answer in time, or the connection broke after the question was sent, so that it may have been carried out.
 	Silent
 )
 
-// PlatformCall is POST /failover. The host sends it once, on a fresh connection, and never again by itself.
+// PlatformCall is POST /failover. The host sends it once, on a fresh connection, and never retries it.
 type PlatformCall struct {
 	Number     uint64
 	Service    string
@@ -93,23 +93,23 @@
 const (
 	// Accepted: 2xx.
 	Accepted PlatformOutcome = iota
-	// Declined: an answer that says that nothing was done (409, 429, another 4xx).
+	// Declined: an answer that says that nothing was done (409, 429 or another 4xx).
 	Declined
-	// NotSent: no connection; not a byte of the call has left.
+	// NotSent: there was no connection, and no byte of the call was sent.
 	NotSent
-	// OutcomeUnknown: silence, a reset or a 5xx after the call was sent.
+	// OutcomeUnknown: no answer, a reset or a 5xx after the call was sent.
 	OutcomeUnknown
 )
 
-// PlatformResult ends a call.
+// PlatformResult is the outcome of a call.
 type PlatformResult struct {
 	Number  uint64
 	Outcome PlatformOutcome
 	Code    int
 }
 
-// Intent is the replicated record of a failover that may be under way at the platform. It is on the disks of all
-// copies before the call is made, and is taken back only on evidence of how the call ended.
+// Intent is the replicated record of a failover that may be in progress at the platform. It is on the disks of all copies before the
+// call is made, and is removed only on evidence of how the call ended.
 type Intent struct {
 	Service    string
 	InstanceID string // the instance that is to lead
@@ -118,23 +118,24 @@
 	Previous   feed.Leader
 }
 
-// ServiceView is what the manager is told of a service, from the committed control state.
+// ServiceView is the committed control state of one service, as the manager is told it.
 type ServiceView struct {
 	Name         string
 	SyncReplicas int
 	Leader       feed.Leader
 	Instances    []feed.Instance // those that have not left and are not lost
 	Intent       *Intent
-	// Departed are those that have left or were lost, and may hold acknowledged commits that no position is known to cover. Only the
-	// first view that a manager is given needs them: afterwards it sees them go.
+	// Departed are the instances that have left or were lost, and may hold acknowledged commits that no known position covers. Only the
+	// first view that a manager is given must contain them: later departures it sees itself.
 	Departed []feed.Instance
-	// GiveUpCount counts how often an operator has given up what lost copies held: what was known of departed instances before counts no more.
+	// GiveUpCount counts how often an operator has given up what lost copies held. When it rises, all that was known of departed
+	// instances is dropped.
 	GiveUpCount uint64
-	// Floor is the furthest position that covers instances that have departed: whoever has not reached it lacks what they may hold.
+	// Floor is the furthest position that covers departed instances: an instance that has not reached it may lack what they held.
 	Floor Position
 }
 
-// Change is what the manager wants in the control state. Exactly one of the fields beside Request is set.
+// Change is a change of the control state that the manager requests. Exactly one of the fields beside Request is set.
 type Change struct {
 	Request     uint64
 	Leader      *LeaderChange
@@ -143,49 +144,49 @@
 	Covered     *CoveredDeparture
 }
 
-// CoveredDeparture records that an instance that has departed holds no acknowledged commit beyond a position of the leader, which was
-// read after it had ended. A later holder knows by it what an instance that it has never met may hold.
+// CoveredDeparture records that a departed instance holds no acknowledged commit beyond a position of the leader that was read after
+// the instance had ended. From it a later holder knows what an instance that it has never seen may hold.
 type CoveredDeparture struct {
 	Service    string
 	InstanceID string
 	Position   Position
 }
 
-// LeaderChange records on evidence who leads a service.
+// LeaderChange records the leader of a service, on evidence from the instance itself.
 type LeaderChange struct {
 	Service string
 	Leader  feed.Leader
 }
 
-// Input is one thing that happens to the manager.
+// Input is an event that the manager is told of.
 type Input interface{ input() }
 
 type (
-	// Tick lets time pass.
+	// Tick lets the manager do what has become due.
 	Tick struct{}
 	// CommittedState replaces what the manager knows of the committed control state.
 	CommittedState struct{ Services []ServiceView }
-	// Heartbeat is a heartbeat: the instance is alive and says what it is.
+	// Heartbeat says that an instance is alive and whether it is a primary.
 	Heartbeat struct {
 		InstanceID string
 		Service    string
 		Primary    bool
 	}
-	// GatewayReport is what a gateway met at an instance.
+	// GatewayReport counts the answers and failures that a gateway saw at an instance.
 	GatewayReport struct {
 		Gateway string
 		Report  feed.InstanceReport
 	}
-	// FreezeCleared: since the freeze with this number, every gateway has applied it or has let its lease run out.
+	// FreezeCleared says that every gateway has applied the freeze with this number, or has let its lease expire since.
 	FreezeCleared struct {
 		Service string
 		Freeze  uint64
 	}
-	// ProbeEnded ends a probe.
+	// ProbeEnded delivers the result of a probe.
 	ProbeEnded struct{ Result ProbeResult }
-	// CallEnded ends a platform call.
+	// CallEnded delivers the result of a platform call.
 	CallEnded struct{ Result PlatformResult }
-	// ChangeDecided tells that a change is committed (or not: the manager asks again if it still wants it).
+	// ChangeDecided says whether a change was committed. If not, the manager requests it again if it still wants it.
 	ChangeDecided struct {
 		Request   uint64
 		Committed bool
@@ -201,38 +202,31 @@
 func (CallEnded) input()      {}
 func (ChangeDecided) input()  {}
 
-// Event is a change worth a line in the log.
+// Event is an entry for the log.
 type Event struct{ What, Text string }
 
-// Effects is what the host must do.
+// Effects are the actions that a step requests of the host.
 type Effects struct {
 	Probes          []Probe
 	Calls           []PlatformCall
 	Changes         []Change
 	Events          []Event
-	AliveInstanceID string // the instance that has answered a probe: it is no lost one, though its heartbeats may not come; "": none
+	AliveInstanceID string // the instance that has answered a probe: it is not lost, even if its heartbeats don't arrive; "": none
 }
 
-// Settings of a manager. A new one is made each time a controller becomes primary.
+// Settings configure a manager. A new manager is made each time a controller becomes primary.
 type Settings struct {
-	Holder         string
-	Fence          uint64 // the epoch of the view: it rises with each holder and is on disk before it is used
-	FenceChecked   bool   // the platform refuses lower fences
-	CallsPerSecond float64
-	LeaderProbe    time.Duration // between probes of a leader nothing speaks against
-	FastProbe      time.Duration // between probes in the fast window
-	FastWindow     time.Duration // how long the fast window lasts after the last sign of change
-	SuspectAfter   time.Duration // silence of the leader, with probes failing, before the service is frozen
-	ReplicaLost    time.Duration // silence after which a replica is taken for gone, if the leader has outlived it
-	DrainLimit     time.Duration // how long statements may reach an instance after its drain was acknowledged
-	DrainMargin    time.Duration // how long before that none is begun any more: the way there takes time
-	DisabledGuards guard.Set     // guards that a test takes out
-	MaxCallDelay   time.Duration // how long a call of an earlier holder may still be on its way where fences aren't checked
+	Holder              string
+	Fence               uint64 // the epoch of the view: it rises with each holder and is on disk before it is used
+	FenceChecked        bool   // the platform refuses lower fences
+	CallsPerSecond      float64
+	LeaderProbeInterval time.Duration // between probes of a leader that shows no sign of failure
+	FastProbeInterval   time.Duration // between probes in the fast window
+	FastWindow          time.Duration // how long the fast window lasts after the last sign of change
+	SuspectAfter        time.Duration // silence of the leader, with probes failing, before the service is frozen
+	ReplicaLostAfter    time.Duration // silence after which a replica is considered lost, if the leader has outlived it
+	DrainLimit          time.Duration // how long statements may reach an instance after its drain was acknowledged
+	DrainMargin         time.Duration // part of DrainLimit kept for the way of the last statement to the instance
+	DisabledGuards      guard.Set     // safety guards that a test disables
+	MaxCallDelay        time.Duration // how long a call of an earlier holder may still be on its way where fences aren't checked
 }
-
-// In manager.go:
-//
-//	func New(now time.Duration, settings Settings) *Manager
-//	func (m *Manager) Step(now time.Duration, input Input) Effects
-//	func (m *Manager) Frozen(service string) (freeze uint64, frozen bool)   freeze: number of the freeze, rising
-//	func (m *Manager) DrainLimits(now time.Duration) []feed.DrainLimit           of all instances that drain
--- a/control/failover/change.go
+++ b/control/failover/change.go
@@ -8,104 +8,105 @@
 	"eiderway/control/feed"
 )
 
-// ask wants a change of the control state. One is under way at a time; what is wanted still is asked for again.
-func (s *service) ask(now time.Duration, change Change) bool {
-	if s.request.number != 0 || now < s.nextAsk {
+// requestChange requests a change of the control state, and reports whether it did: only one may be in progress. Callers repeat the
+// request for as long as they want the change.
+func (s *service) requestChange(now time.Duration, change Change) bool {
+	if s.request.number != 0 || now < s.nextChangeAt {
 		return false
 	}
-	change.Request = s.manager.number()
-	s.request = request{number: change.Request, at: now, change: change, before: s.view.Leader}
+	change.Request = s.manager.nextNumber()
+	s.request = request{number: change.Request, at: now, change: change, leaderBefore: s.view.Leader}
 	s.manager.effects.Changes = append(s.manager.effects.Changes, change)
 	return true
 }
 
-func (s *service) askLeader(now time.Duration, leader *member) {
-	s.ask(now, Change{Leader: &LeaderChange{
+func (s *service) requestLeader(now time.Duration, leader *member) {
+	s.requestChange(now, Change{Leader: &LeaderChange{
 		Service: s.name,
 		Leader:  feed.Leader{InstanceID: leader.instance.ID, Term: leader.status.Term},
 	}})
 }
 
-// changed tells how the change that was asked for ended.
-func (s *service) changed(now time.Duration, committed bool) {
+// handleChangeDecided applies the outcome of the requested change.
+func (s *service) handleChangeDecided(now time.Duration, committed bool) {
 	done := s.request
 	s.request = request{}
 	if !committed {
-		s.nextAsk = now + changeRetry
-		s.notRecorded()
+		s.nextChangeAt = now + changeRetry
+		s.onIntentNotCommitted()
 		return
 	}
 	switch {
 	case done.change.Leader != nil:
-		s.recordedLeader(now, done.before, done.change.Leader.Leader)
+		s.onLeaderCommitted(now, done.leaderBefore, done.change.Leader.Leader)
 	case done.change.Intent != nil:
-		s.recordedIntent(now, done)
+		s.onIntentCommitted(now, done)
 	case done.change.Covered != nil:
-		s.recordedCover(*done.change.Covered)
+		s.onCoverCommitted(*done.change.Covered)
 	case done.change.ClearIntent != "":
-		s.view.Intent, s.intent, s.inherited, s.call = nil, nil, false, calls{}
-		if s.phase == withdrawing {
+		s.view.Intent, s.intent, s.intentInherited, s.call = nil, nil, false, callState{}
+		if s.phase == withdrawingIntent {
 			s.unfreeze(now)
 		}
 	}
 }
 
-// recordedCover forgets an instance that has departed: the floor stands for what it may hold.
-func (s *service) recordedCover(covered CoveredDeparture) {
+// onCoverCommitted forgets a departed instance: the floor now stands for what it may hold.
+func (s *service) onCoverCommitted(covered CoveredDeparture) {
 	if s.view.Floor.Less(covered.Position) {
 		s.view.Floor = covered.Position
 	}
-	s.members = lo.Reject(s.members, func(i *member, _ int) bool {
-		return i.departed && i.instance.ID == covered.InstanceID
+	s.members = lo.Reject(s.members, func(m *member, _ int) bool {
+		return m.departed && m.instance.ID == covered.InstanceID
 	})
 }
 
-// notRecorded goes back to where the intent was wanted.
-func (s *service) notRecorded() {
-	if s.phase != recording {
+// onIntentNotCommitted returns to the phase in which the intent was requested.
+func (s *service) onIntentNotCommitted() {
+	if s.phase != recordingIntent {
 		return
 	}
 	s.phase = pausing
-	if s.intent != nil && s.intentUnsettled() && s.round == 0 {
-		s.phase = awaiting
+	if s.intent != nil && s.isIntentUnsettled() && s.roundTerm == 0 {
+		s.phase = awaitingEffect
 	}
 }
 
-// recordedLeader goes on with a leader that is committed. Everyone else who led steps down in its term.
-func (s *service) recordedLeader(now time.Duration, previous, leader feed.Leader) {
+// onLeaderCommitted adopts the committed leader. Every other instance that led must step down in its term.
+func (s *service) onLeaderCommitted(now time.Duration, previous, leader feed.Leader) {
 	s.view.Leader = leader
-	s.gatewayHeard, s.failuresOnly, s.failuresSaid = false, false, false
-	s.event("leader", "%s term %d, before %s term %d", leader.InstanceID, leader.Term, previous.InstanceID, previous.Term)
-	for _, known := range s.present() {
-		led := known.instance.ID == previous.InstanceID || known.leads(0)
-		known.mustStepDown = led && known.instance.ID != leader.InstanceID
-		known.calledInVain = false
-		known.mayBePaused = known.mayBePaused || known.known && s.pausedByOther(known)
-		if known.instance.ID == leader.InstanceID {
-			known.mayBePaused = false
+	s.hasGatewayAnswer, s.hasFailuresOnly, s.failuresOnlyLogged = false, false, false
+	s.addEvent("leader", "%s term %d, previously %s term %d", leader.InstanceID, leader.Term, previous.InstanceID, previous.Term)
+	for _, m := range s.presentMembers() {
+		led := m.instance.ID == previous.InstanceID || m.leadsSince(0)
+		m.mustStepDown = led && m.instance.ID != leader.InstanceID
+		m.callHadNoEffect = false
+		m.mayBePaused = m.mayBePaused || m.hasStatus && s.mayBePausedByEarlierHolder(m)
+		if m.instance.ID == leader.InstanceID {
+			m.mayBePaused = false
 		}
 	}
-	s.call.acceptedUntil, s.doubt = 0, false
-	s.effectSeen(leader)
-	if s.phase == installing {
+	s.call.acceptedUntil, s.leadInDoubt = 0, false
+	s.closeCallIfTargetLeads(leader)
+	if s.phase == recordingLeader {
 		s.unfreeze(now)
-		s.aftercare(now)
+		s.cleanUpFailover(now)
 	}
 }
 
-// recordedIntent makes the call, unless the wish for it is so old that this process must have stood still meanwhile.
-func (s *service) recordedIntent(now time.Duration, done request) {
+// onIntentCommitted makes the call due, unless the intent was requested so long ago that this process must have been stopped meanwhile.
+func (s *service) onIntentCommitted(now time.Duration, done request) {
 	s.intent, s.view.Intent = done.change.Intent, done.change.Intent
 	sent := s.call.sent
 	if !s.callMayAct(now) {
 		sent = 0
 	}
-	s.call = calls{sent: sent, unknownUntil: s.call.unknownUntil, ownUnknown: s.call.ownUnknown}
-	if s.phase != recording {
+	s.call = callState{sent: sent, unknownUntil: s.call.unknownUntil, hasOwnUnknown: s.call.hasOwnUnknown}
+	if s.phase != recordingIntent {
 		return
 	}
-	if now-done.at > intentFresh {
-		s.notRecorded()
+	if now-done.at > intentMaxAge {
+		s.onIntentNotCommitted()
 		return
 	}
 	s.phase = calling
--- a/control/failover/choose.go
+++ b/control/failover/choose.go
@@ -9,92 +9,93 @@
 	"eiderway/control/guard"
 )
 
-// choose picks the instance that is to lead, once it is shown that it holds every commit that may have been acknowledged.
+// choose selects the instance that is to lead, once it is proven to hold every commit that may have been acknowledged.
 func (s *service) choose(now time.Duration) {
-	s.missing = nil
-	chosen, held := s.candidate(now)
+	s.blocking = nil
+	chosen, held := s.selectCandidate(now)
 	if chosen == nil {
 		return
 	}
-	if missing := s.proof(chosen, held); len(missing) > 0 && !s.manager.guards.choiceUnproven && !s.asynchronousLimit(now) {
-		s.missing = missing
-		s.noteStalled(now, missing)
+	if missing := s.blockingInstances(chosen, held); len(missing) > 0 && !s.manager.overrides.allowUnprovenChoice && !s.asynchronousWaitOver(now) {
+		s.blocking = missing
+		s.logStall(now, missing)
 		return
 	}
 	if !s.mayCallFor(now, chosen) {
 		return
 	}
-	if !s.manager.guards.callWithoutIntent && !s.ask(now, Change{Intent: s.wanted(chosen)}) {
+	if !s.manager.overrides.allowCallBeforeIntent && !s.requestChange(now, Change{Intent: s.intentFor(chosen)}) {
 		return
 	}
-	s.event("chosen", "%s at %d.%d, term %d", chosen.instance.ID, chosen.heldPosition.Term, chosen.heldPosition.Number, s.round)
-	if s.manager.guards.callWithoutIntent {
-		s.intent = s.wanted(chosen)
+	s.addEvent("chosen", "%s at position %d.%d, paused in term %d", chosen.instance.ID,
+		chosen.pausedPosition.Term, chosen.pausedPosition.Number, s.roundTerm)
+	if s.manager.overrides.allowCallBeforeIntent {
+		s.intent = s.intentFor(chosen)
 		s.phase = calling
 		return
 	}
-	s.phase = recording
+	s.phase = recordingIntent
 }
 
-// candidate gives the instance to choose, with those on whose positions it is judged. Where the furthest is one that the platform may
-// take for the present primary, a call for it may do nothing: it is named only when nobody else has been shown for long to hold
-// every commit.
-func (s *service) candidate(now time.Duration) (*member, []*member) {
-	held := s.heldMembers()
+// selectCandidate returns the best instance to lead, and the paused members whose positions the choice rests on. A call for an
+// instance that the platform may consider the present primary may do nothing: such an instance is returned only when for a long time
+// no other has been proven to hold every commit.
+func (s *service) selectCandidate(now time.Duration) (*member, []*member) {
+	held := s.pausedMembers()
 	best := s.furthest(held)
 	if best == nil || !s.maySeemPrimary(best) {
 		return best, held
 	}
-	others := lo.Reject(held, func(i *member, _ int) bool { return s.maySeemPrimary(i) })
-	if other := s.furthest(others); other != nil && len(s.proof(other, others)) == 0 {
+	others := lo.Reject(held, func(m *member, _ int) bool { return s.maySeemPrimary(m) })
+	if other := s.furthest(others); other != nil && len(s.blockingInstances(other, others)) == 0 {
 		return other, others
 	}
-	if now-max(s.clearedAt, s.call.endedAt) < seemsPrimaryWait && s.othersMayCome(best) {
+	if now-max(s.clearedAt, s.call.endedAt) < seemsPrimaryWait && s.hasOtherCandidates(best) {
 		return nil, nil
 	}
 	return best, held
 }
 
-// maySeemPrimary tells whether the platform may take an instance that doesn't lead for the present primary: it is the recorded
-// leader, or a call for it was accepted and nothing followed. Where acknowledged commits need not be in a replica, the recorded
-// leader is tried once, since it alone may have them.
-func (s *service) maySeemPrimary(i *member) bool {
-	return i.calledInVain || i.instance.ID == s.view.Leader.InstanceID && s.view.SyncReplicas > 0
+// maySeemPrimary reports whether the platform may consider an instance that doesn't lead the present primary: it is the recorded
+// leader, or a call for it was accepted and had no effect. Where acknowledged commits need not be in a replica, the recorded leader is
+// tried once, since it alone may have them.
+func (s *service) maySeemPrimary(m *member) bool {
+	return m.callHadNoEffect || m.instance.ID == s.view.Leader.InstanceID && s.view.SyncReplicas > 0
 }
 
-// othersMayCome tells whether there are others that may be held yet, or be called with effect.
-func (s *service) othersMayCome(best *member) bool {
-	return lo.ContainsBy(s.present(), func(i *member) bool { return i != best })
+// hasOtherCandidates reports whether there are other instances that may yet be paused, or be called with effect.
+func (s *service) hasOtherCandidates(best *member) bool {
+	return lo.ContainsBy(s.presentMembers(), func(m *member) bool { return m != best })
 }
 
-func (s *service) wanted(chosen *member) *Intent {
+func (s *service) intentFor(chosen *member) *Intent {
 	return &Intent{
 		Service:    s.name,
 		InstanceID: chosen.instance.ID,
-		Term:       s.round,
+		Term:       s.roundTerm,
 		Fence:      s.settings().Fence,
 		Previous:   s.view.Leader,
 	}
 }
 
-// furthest gives the instance with the highest position; among equals one that wasn't called in vain, one that stays, then one that didn't lead, then the one that
-// lags least.
+// furthest returns the member with the highest position. Among equals it prefers one for which no call was without effect, then one
+// that isn't draining, then one that isn't the recorded leader, then the one that lags least.
 func (s *service) furthest(held []*member) *member {
 	var best *member
-	for _, i := range held {
-		if best == nil || s.better(i, best) {
-			best = i
+	for _, m := range held {
+		if best == nil || s.isBetter(m, best) {
+			best = m
 		}
 	}
 	return best
 }
 
-func (s *service) better(a, b *member) bool {
-	if a.heldPosition != b.heldPosition {
-		return b.heldPosition.Less(a.heldPosition)
+func (s *service) isBetter(a, b *member) bool {
+	if a.pausedPosition != b.pausedPosition {
+		return b.pausedPosition.Less(a.pausedPosition)
 	}
-	if a.calledInVain != b.calledInVain {
-		return !a.calledInVain
+	if a.callHadNoEffect != b.callHadNoEffect {
+		return !a.callHadNoEffect
 	}
 	if a.instance.Draining != b.instance.Draining {
 		return !a.instance.Draining
@@ -105,32 +106,32 @@
 	return a.status.LagMs < b.status.LagMs
 }
 
-// proof tells which instances stand against the choice; none if it is proven. An acknowledged commit is in the logs of two instances:
-// of the leader of its term and of a replica. The chosen one is the furthest of those held (or of the part of them that counts here),
-// so it has the commit if
-//   - all instances but one are held: one of the two that have it is among them; or
-//   - the recorded leader is held, and no later term is known in which somebody else led; or
-//   - each instance that isn't held, but one, had fallen silent or left before the leader's position was read that the chosen
+// blockingInstances returns the instances that stand against the choice, or none if the choice is proven. An acknowledged commit is in
+// the logs of two instances: of the leader of its term and of a replica. The chosen one is the furthest of the paused members (or of the
+// part of them that counts here), so it has the commit if
+//   - all instances but one are paused: one of the two that have the commit is among them; or
+//   - the recorded leader is paused, and no later term is known in which another instance led; or
+//   - each instance that isn't paused, but one, had fallen silent or left before the leader's position was read that the chosen
 //     one has reached (and no later term is known).
 //
 // Of those that left and were covered long ago only the furthest of these positions is kept, as the floor.
-func (s *service) proof(chosen *member, held []*member) []string {
+func (s *service) blockingInstances(chosen *member, held []*member) []string {
 	led := s.view.Leader.InstanceID
-	laterTerm := s.latestTerm() > s.view.Leader.Term
-	open := lo.Filter(s.members, func(i *member, _ int) bool {
-		covered := !laterTerm && i.cover != nil && !chosen.heldPosition.Less(*i.cover)
-		return !lo.Contains(held, i) && (!covered || i.instance.ID == led)
+	laterTerm := s.highestLedTerm() > s.view.Leader.Term
+	open := lo.Filter(s.members, func(m *member, _ int) bool {
+		covered := !laterTerm && m.cover != nil && !chosen.pausedPosition.Less(*m.cover)
+		return !lo.Contains(held, m) && (!covered || m.instance.ID == led)
 	})
-	leader := s.member(led)
+	leader := s.findMember(led)
 	if leader != nil && lo.Contains(held, leader) && !laterTerm {
 		return nil
 	}
 	spare := 1
 	if led == "" || leader == nil {
-		spare = 0 // the leader is unknown, or was forgotten: it is the one that is missing
+		spare = 0 // the leader is unknown, or was forgotten: it is the one instance that may be missing
 	}
-	missing := lo.Map(open, func(i *member, _ int) string { return i.instance.ID })
-	if chosen.heldPosition.Less(s.view.Floor) && !s.settings().DisabledGuards.Lacks(guard.Floor) {
+	missing := lo.Map(open, func(m *member, _ int) string { return m.instance.ID })
+	if chosen.pausedPosition.Less(s.view.Floor) && !s.settings().DisabledGuards.Lacks(guard.Floor) {
 		missing = append(missing, DepartedEarlier)
 	}
 	if len(missing) <= spare {
@@ -142,19 +143,19 @@
 // DepartedEarlier stands for the instances that departed, and were covered by a position that the chosen one hasn't reached.
 const DepartedEarlier = "(departed)"
 
-// asynchronousLimit ends the wait for a silent replica where acknowledged commits need not be in any replica anyway.
-func (s *service) asynchronousLimit(now time.Duration) bool {
-	return s.view.SyncReplicas == 0 && s.why != leaderDrains && now-s.frozenAt >= s.settings().ReplicaLost
+// asynchronousWaitOver reports whether the wait for a silent replica ends because no replica needs to hold acknowledged commits anyway.
+func (s *service) asynchronousWaitOver(now time.Duration) bool {
+	return s.view.SyncReplicas == 0 && s.freezeReason != leaderDraining && now-s.frozenAt >= s.settings().ReplicaLostAfter
 }
 
-func (s *service) noteStalled(now time.Duration, missing []string) {
-	if !s.stalled && now-s.roundAt >= statusFresh {
-		s.stalled = true
-		s.event("waiting", "nobody is shown to hold every acknowledged commit; open: %s", strings.Join(missing, " "))
+func (s *service) logStall(now time.Duration, missing []string) {
+	if !s.stallLogged && now-s.roundStartedAt >= statusMaxAge {
+		s.stallLogged = true
+		s.addEvent("waiting", "nobody is shown to hold every acknowledged commit; these may hold more: %s", strings.Join(missing, " "))
 	}
 }
 
-// mayCallFor tells whether a call for this instance may be made: not while an earlier one for another target may still act.
+// mayCallFor reports whether a call for this instance may be made: not while an earlier call for another target may still act.
 func (s *service) mayCallFor(now time.Duration, chosen *member) bool {
 	if s.call.number != 0 {
 		return false
@@ -162,5 +163,7 @@
 	if s.intent == nil || s.intent.InstanceID == chosen.instance.ID || !s.callMayAct(now) {
 		return true
 	}
-	return s.othersCallsVoid() || s.manager.guards.repeatAtOnce && s.call.ownUnknown || s.manager.guards.lateCallsForgotten && !s.call.ownUnknown
+	return s.fenceVoidsOpenCalls() ||
+		s.manager.overrides.allowImmediateRetarget && s.call.hasOwnUnknown ||
+		s.manager.overrides.ignoreLateCalls && !s.call.hasOwnUnknown
 }
--- a/control/failover/host_test.go
+++ b/control/failover/host_test.go
@@ -15,19 +15,19 @@
 	askEvery    = 400 * time.Millisecond
 )
 
-// host runs a manager as a controller does: it commits changes, carries out probes and calls, and tells when a freeze is cleared.
+// host runs a manager as a controller does: it commits changes, carries out probes and calls, and reports cleared freezes.
 type host struct {
-	world   *world
-	name    string
-	manager *Manager
-	active  bool // it leads the control state
-	stopped bool
-	granted map[string]time.Duration // until when a gateway may use a table
-	applied map[string]map[string]uint64
-	told    map[string]uint64
+	world          *world
+	name           string
+	manager        *Manager
+	active         bool // it is primary of the control state
+	stopped        bool
+	granted        map[string]time.Duration // until when a gateway may use a table
+	applied        map[string]map[string]uint64
+	clearedFreezes map[string]uint64
 }
 
-// takeOver lets a new controller lead the control state. The old one doesn't know for a while.
+// takeOver makes a new controller primary of the control state. The old one doesn't learn of it for a while.
 func (w *world) takeOver() {
 	if old := w.current; old != nil {
 		old.active = false
@@ -39,9 +39,9 @@
 	settings.FenceChecked, settings.CallsPerSecond = w.options.fenceChecked, 10
 	h := &host{
 		world: w, name: settings.Holder, manager: New(w.now, settings), active: true,
-		granted: map[string]time.Duration{}, applied: map[string]map[string]uint64{}, told: map[string]uint64{},
+		granted: map[string]time.Duration{}, applied: map[string]map[string]uint64{}, clearedFreezes: map[string]uint64{},
 	}
-	h.manager.guards = w.options.guards
+	h.manager.overrides = w.options.overrides
 	for _, g := range w.gateways {
 		h.granted[g.name] = w.now + leaseLength // an earlier controller may have granted it just now
 	}
@@ -114,7 +114,7 @@
 		default:
 			w.committed[change.ClearIntent].Intent = nil
 		}
-		if w.chance(5) { // the process ends between the commit and the word of it
+		if w.chance(5) { // the process ends between the commit and the notice of it
 			h.stopped = true
 			w.takeOver()
 			return
@@ -130,41 +130,41 @@
 	end := func(answer ProbeAnswer, status Status) {
 		h.step(ProbeEnded{Result: ProbeResult{Number: probe.Number, Answer: answer, Status: status, Started: started}})
 	}
-	way := w.between(time.Millisecond, 6*time.Millisecond)
-	w.after(way, func() {
+	delay := w.between(time.Millisecond, 6*time.Millisecond)
+	w.after(delay, func() {
 		target := w.instances[probe.InstanceID]
 		switch {
 		case target == nil || w.path(h.name, probe.InstanceID) && !target.up:
 			end(Refused, Status{})
 			return
 		case !w.path(h.name, probe.InstanceID):
-			w.after(probeTimeout-way, func() { end(Silent, Status{}) })
+			w.after(probeTimeout-delay, func() { end(Silent, Status{}) })
 			return
 		case w.chance(w.options.lossPer1000):
 			end(Busy, Status{})
 			return
 		}
 		if !h.active && probe.Kind == AskContinue {
-			return // an old controller's CONTINUE would only undo what the freeze guards as well
+			return // dropped: an old controller's CONTINUE would only undo a pause, where the freeze protects as well
 		}
 		if probe.Kind == AskPause && h.active {
-			w.judge.paused(w, probe.Service)
+			w.checker.paused(w, probe.Service)
 		}
 		ran := target.ask(probe.Kind, probe.Term)
 		status := target.status()
 		if !ran || w.chance(w.options.lossPer1000) {
-			w.after(probeTimeout-way, func() { end(Silent, Status{}) })
+			w.after(probeTimeout-delay, func() { end(Silent, Status{}) })
 			return
 		}
-		w.after(way, func() { end(Answered, status) })
+		w.after(delay, func() { end(Answered, status) })
 	})
 }
 
-// tellCleared tells the manager when every gateway keeps a freeze, or has no lease any more.
+// tellCleared tells the manager of each freeze that every gateway has applied or outlived without a lease.
 func (h *host) tellCleared() {
 	for _, service := range h.world.services {
 		freeze, frozen := h.manager.Frozen(service)
-		if !frozen || h.told[service] == freeze {
+		if !frozen || h.clearedFreezes[service] == freeze {
 			continue
 		}
 		all := true
@@ -173,22 +173,22 @@
 			all = all && (keeps || h.world.now > h.granted[g.name]+leaseMargin)
 		}
 		if all {
-			h.told[service] = freeze
+			h.clearedFreezes[service] = freeze
 			h.step(FreezeCleared{Service: service, Freeze: freeze})
 		}
 	}
 }
 
-// gateway serves writes and reads under a lease.
+// gateway sends writes and reads to the leaders while it has a lease.
 type gateway struct {
 	world   *world
 	name    string
 	lease   time.Duration
 	leaders map[string]feed.Leader
 	frozen  map[string]bool
-	changes map[string]int // counts freezes and lapses: a success from before one is not passed on
+	changes map[string]int // counts freezes and expired leases: a success from before one is not passed on
 	reports map[string]*feed.InstanceReport
-	newest  time.Duration // when the question was sent whose answer is applied
+	newest  time.Duration // when the poll was sent whose answer was applied last
 	busy    bool
 }
 
@@ -205,7 +205,7 @@
 	g.world.after(tickEvery, g.watch)
 }
 
-// watch asks at once when there is news: the controller holds the question open.
+// watch polls at once after a change: the real controller answers an open watch then.
 func (g *gateway) watch() {
 	h := g.world.current
 	for _, service := range g.world.services {
@@ -229,7 +229,7 @@
 	leader feed.Leader
 }
 
-// poll brings the table and a lease, which counts from the sending of the question.
+// poll fetches the table and a lease, which counts from when the poll was sent.
 func (g *gateway) poll() {
 	w, h, sent := g.world, g.world.current, g.world.now
 	if !w.path(g.name, h.name) || g.busy {
@@ -264,7 +264,7 @@
 	}
 	g.newest = sent
 	if w.now > g.lease {
-		g.lapse()
+		g.countLapse()
 	}
 	g.lease = max(g.lease, sent+leaseLength)
 	keeps := map[string]uint64{}
@@ -285,13 +285,13 @@
 	})
 }
 
-func (g *gateway) lapse() {
+func (g *gateway) countLapse() {
 	for _, service := range g.world.services {
 		g.changes[service]++
 	}
 }
 
-// serves tells whether statements may go to the leader of a service.
+// serves reports whether statements may go to the leader of a service.
 func (g *gateway) serves(service string) bool {
 	return g.world.now <= g.lease && !g.frozen[service] && g.leaders[service].InstanceID != ""
 }
@@ -324,7 +324,7 @@
 		case !at.up:
 			g.report(at.id).Failures++
 		case w.chance(300):
-			w.judge.read(w, g, at)
+			w.checker.read(w, g, at)
 			g.report(at.id).Answers++
 		case !at.primary:
 			g.report(at.id).ReadOnly++
@@ -338,21 +338,21 @@
 	w := g.world
 	w.writes++
 	number, changes, committed := w.writes, g.changes[service], w.now
-	at.write(number, func(answered bool, place Position) {
+	at.write(number, func(answered bool, position Position) {
 		if !answered {
 			g.report(at.id).Failures++
 			return
 		}
-		open := g.serves(service) && changes == g.changes[service] // else the gateway has cut the connection
+		open := g.serves(service) && changes == g.changes[service] // otherwise the gateway has closed the connection
 		if open || w.options.allAnswers {
-			w.judge.answered(at, place, number)
+			w.checker.answered(at, position, number)
 		}
 		if !w.path(g.name, at.id) {
 			return
 		}
 		g.report(at.id).Answers++
 		if open {
-			w.judge.acknowledged(w, at, committed, place, number)
+			w.checker.acknowledged(w, at, committed, position, number)
 		}
 	})
 }
--- a/control/failover/manager_test.go
+++ b/control/failover/manager_test.go
@@ -12,8 +12,8 @@
 	"eiderway/control/invariant"
 )
 
-// desk drives a manager by hand: instances answer as set, and nothing is committed or cleared unless the test says so.
-type desk struct {
+// harness drives a manager step by step: instances answer as the test sets them, and nothing is committed or cleared on its own.
+type harness struct {
 	manager *Manager
 	now     time.Duration
 	answers map[string]Status
@@ -22,12 +22,12 @@
 	paused  []Probe
 }
 
-func newDesk(views ...ServiceView) *desk {
+func newHarness(views ...ServiceView) *harness {
 	settings := DefaultSettings()
 	settings.Holder, settings.Fence = "c1", 5
-	d := &desk{manager: New(0, settings), answers: map[string]Status{}}
-	d.step(CommittedState{Services: views})
-	return d
+	h := &harness{manager: New(0, settings), answers: map[string]Status{}}
+	h.step(CommittedState{Services: views})
+	return h
 }
 
 func threeInstances(leader string) ServiceView {
@@ -41,22 +41,22 @@
 	return view
 }
 
-// step takes an input, and answers every probe at once: instances that aren't set refuse.
-func (d *desk) step(input Input) {
+// step passes an input to the manager, and answers every probe at once: instances without a set answer refuse.
+func (h *harness) step(input Input) {
 	inputs := []Input{input}
 	for len(inputs) > 0 {
-		effects := d.manager.Step(d.now, inputs[0])
+		effects := h.manager.Step(h.now, inputs[0])
 		inputs = inputs[1:]
-		d.calls = append(d.calls, effects.Calls...)
-		d.changes = append(d.changes, effects.Changes...)
+		h.calls = append(h.calls, effects.Calls...)
+		h.changes = append(h.changes, effects.Changes...)
 		for _, probe := range effects.Probes {
-			status, up := d.answers[probe.InstanceID]
-			result := ProbeResult{Number: probe.Number, Answer: Refused, Started: d.now}
+			status, up := h.answers[probe.InstanceID]
+			result := ProbeResult{Number: probe.Number, Answer: Refused, Started: h.now}
 			if probe.Kind == AskPause {
-				d.paused = append(d.paused, probe)
+				h.paused = append(h.paused, probe)
 				status.TermHeld = probe.Term
 				if up {
-					d.answers[probe.InstanceID] = status
+					h.answers[probe.InstanceID] = status
 				}
 			}
 			if up {
@@ -67,10 +67,10 @@
 	}
 }
 
-func (d *desk) wait(span time.Duration) {
-	for end := d.now + span; d.now < end; {
-		d.now += tickEvery
-		d.step(Tick{})
+func (h *harness) wait(span time.Duration) {
+	for end := h.now + span; h.now < end; {
+		h.now += tickEvery
+		h.step(Tick{})
 	}
 }
 
@@ -78,194 +78,194 @@
 	return Status{Term: 3, TermHeld: 3, Received: Position{Term: 3, Number: number}}
 }
 
-// crashed brings the desk to a frozen service whose leader is gone and whose replica a3 is further.
-func crashed() *desk {
-	d := newDesk(threeInstances("a1"))
-	d.answers["a2"], d.answers["a3"] = replicaAt(10), replicaAt(12)
-	d.wait(2 * time.Second)
-	return d
+// frozenAfterCrash returns a harness with a frozen service whose leader is gone and whose replica a3 has the furthest position.
+func frozenAfterCrash() *harness {
+	h := newHarness(threeInstances("a1"))
+	h.answers["a2"], h.answers["a3"] = replicaAt(10), replicaAt(12)
+	h.wait(2 * time.Second)
+	return h
 }
 
 func TestLeaderIsRecordedOnStatusOnly(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(threeInstances(""))
-	d.answers["a1"], d.answers["a2"], d.answers["a3"] = replicaAt(10), replicaAt(10), replicaAt(10)
-	d.step(Heartbeat{InstanceID: "a2", Service: "a", Primary: true})
-	d.wait(time.Second)
-	is.Equal(len(d.changes), 0) // a heartbeat alone is no evidence
+	h := newHarness(threeInstances(""))
+	h.answers["a1"], h.answers["a2"], h.answers["a3"] = replicaAt(10), replicaAt(10), replicaAt(10)
+	h.step(Heartbeat{InstanceID: "a2", Service: "a", Primary: true})
+	h.wait(time.Second)
+	is.Equal(len(h.changes), 0) // a heartbeat alone is no evidence
 	status := replicaAt(10)
 	status.Primary = true
-	d.answers["a2"] = status
-	d.wait(time.Second)
-	is.Equal(len(d.changes), 1)
-	is.Equal(d.changes[0].Leader.Leader, feed.Leader{InstanceID: "a2", Term: 3})
+	h.answers["a2"] = status
+	h.wait(time.Second)
+	is.Equal(len(h.changes), 1)
+	is.Equal(h.changes[0].Leader.Leader, feed.Leader{InstanceID: "a2", Term: 3})
 }
 
 func TestOnlyTheCurrentFreezeIsCleared(t *testing.T) {
 	is := is.New(t)
-	d := crashed()
-	freeze, frozen := d.manager.Frozen("a")
+	h := frozenAfterCrash()
+	freeze, frozen := h.manager.Frozen("a")
 	is.True(frozen)
-	d.step(FreezeCleared{Service: "a", Freeze: freeze - 1})
-	d.wait(time.Second)
-	is.Equal(len(d.paused), 0) // nothing is paused for a freeze that isn't cleared
-	d.step(FreezeCleared{Service: "a", Freeze: freeze})
-	is.Equal(len(d.paused), 2)
-	is.True(d.paused[0].Term > 3)
+	h.step(FreezeCleared{Service: "a", Freeze: freeze - 1})
+	h.wait(time.Second)
+	is.Equal(len(h.paused), 0) // nothing is paused for a freeze that isn't cleared
+	h.step(FreezeCleared{Service: "a", Freeze: freeze})
+	is.Equal(len(h.paused), 2)
+	is.True(h.paused[0].Term > 3)
 }
 
 func TestHandOverIsNotGivenUpForSlowGateways(t *testing.T) {
 	is := is.New(t)
 	view := threeInstances("a1")
-	d := newDesk(view)
+	h := newHarness(view)
 	leading := replicaAt(12)
 	leading.Primary = true
-	d.answers["a1"], d.answers["a2"], d.answers["a3"] = leading, replicaAt(12), replicaAt(12)
-	d.wait(time.Second)
+	h.answers["a1"], h.answers["a2"], h.answers["a3"] = leading, replicaAt(12), replicaAt(12)
+	h.wait(time.Second)
 	view.Instances[0].Draining = true
-	d.step(CommittedState{Services: []ServiceView{view}})
-	d.wait(handOverLimit + time.Second) // a lease has to run out
-	freeze, frozen := d.manager.Frozen("a")
+	h.step(CommittedState{Services: []ServiceView{view}})
+	h.wait(handOverLimit + time.Second) // a lease has to run out
+	freeze, frozen := h.manager.Frozen("a")
 	is.True(frozen)
-	d.step(FreezeCleared{Service: "a", Freeze: freeze})
-	d.wait(time.Second)
-	is.Equal(len(d.changes), 1)
-	is.True(d.changes[0].Intent != nil)
+	h.step(FreezeCleared{Service: "a", Freeze: freeze})
+	h.wait(time.Second)
+	is.Equal(len(h.changes), 1)
+	is.True(h.changes[0].Intent != nil)
 }
 
-func TestFreezesRise(t *testing.T) {
+func TestFreezeNumbersRise(t *testing.T) {
 	is := is.New(t)
-	d := crashed()
-	first, _ := d.manager.Frozen("a")
+	h := frozenAfterCrash()
+	first, _ := h.manager.Frozen("a")
 	leading := replicaAt(12)
 	leading.Primary = true
-	d.answers["a1"] = leading
-	d.wait(time.Second)
-	_, frozen := d.manager.Frozen("a")
+	h.answers["a1"] = leading
+	h.wait(time.Second)
+	_, frozen := h.manager.Frozen("a")
 	is.True(!frozen) // the leader answers again and nothing was paused
-	delete(d.answers, "a1")
-	d.wait(6 * time.Second)
-	second, frozen := d.manager.Frozen("a")
+	delete(h.answers, "a1")
+	h.wait(6 * time.Second)
+	second, frozen := h.manager.Frozen("a")
 	is.True(frozen)
 	is.True(second > first)
 }
 
 func TestIntentIsCommittedBeforeTheCall(t *testing.T) {
 	is := is.New(t)
-	d := crashed()
-	freeze, _ := d.manager.Frozen("a")
-	d.step(FreezeCleared{Service: "a", Freeze: freeze})
-	is.Equal(len(d.changes), 1)
-	is.Equal(d.changes[0].Intent.InstanceID, "a3") // the further one
-	d.wait(time.Second)
-	is.Equal(len(d.calls), 0)
-	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
-	is.Equal(len(d.calls), 1)
-	is.Equal(d.calls[0].InstanceID, "a3")
-	is.Equal(d.calls[0].Fence, uint64(5))
+	h := frozenAfterCrash()
+	freeze, _ := h.manager.Frozen("a")
+	h.step(FreezeCleared{Service: "a", Freeze: freeze})
+	is.Equal(len(h.changes), 1)
+	is.Equal(h.changes[0].Intent.InstanceID, "a3") // the further one
+	h.wait(time.Second)
+	is.Equal(len(h.calls), 0)
+	h.step(ChangeDecided{Request: h.changes[0].Request, Committed: true})
+	is.Equal(len(h.calls), 1)
+	is.Equal(h.calls[0].InstanceID, "a3")
+	is.Equal(h.calls[0].Fence, uint64(5))
 }
 
-func TestNoCallOnAnOldCommit(t *testing.T) {
+func TestNoCallAfterStaleIntentCommit(t *testing.T) {
 	is := is.New(t)
-	d := crashed()
-	freeze, _ := d.manager.Frozen("a")
-	d.step(FreezeCleared{Service: "a", Freeze: freeze})
-	d.now += 20 * time.Second // the process stood still
-	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
-	is.Equal(len(d.calls), 0)
-	is.Equal(len(d.changes), 2) // it is asked for again: that shows whether this holder still leads
+	h := frozenAfterCrash()
+	freeze, _ := h.manager.Frozen("a")
+	h.step(FreezeCleared{Service: "a", Freeze: freeze})
+	h.now += 20 * time.Second // the process was stopped
+	h.step(ChangeDecided{Request: h.changes[0].Request, Committed: true})
+	is.Equal(len(h.calls), 0)
+	is.Equal(len(h.changes), 2) // it is asked for again: that shows whether this holder still leads
 }
 
 func TestSteppedDownLeaderIsNotChosenBeforeItsEqual(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(threeInstances("a1"))
-	d.answers["a1"] = replicaAt(12)
-	d.wait(2 * time.Second)
-	freeze, frozen := d.manager.Frozen("a")
+	h := newHarness(threeInstances("a1"))
+	h.answers["a1"] = replicaAt(12)
+	h.wait(2 * time.Second)
+	freeze, frozen := h.manager.Frozen("a")
 	is.True(frozen)
-	d.step(FreezeCleared{Service: "a", Freeze: freeze})
-	d.wait(time.Second)
-	is.Equal(len(d.changes), 0) // it would do as to its log, but the platform may take it for the primary still
-	d.answers["a2"] = replicaAt(12)
-	d.wait(time.Second)
-	is.Equal(len(d.changes), 1)
-	is.Equal(d.changes[0].Intent.InstanceID, "a2")
+	h.step(FreezeCleared{Service: "a", Freeze: freeze})
+	h.wait(time.Second)
+	is.Equal(len(h.changes), 0) // its log would suffice, but the platform may still consider it the primary
+	h.answers["a2"] = replicaAt(12)
+	h.wait(time.Second)
+	is.Equal(len(h.changes), 1)
+	is.Equal(h.changes[0].Intent.InstanceID, "a2")
 }
 
 func TestAcceptedCallWithoutEffectIsFollowedByAnotherChoice(t *testing.T) {
 	is := is.New(t)
-	d := crashed()
-	d.answers["a2"] = replicaAt(12)
-	freeze, _ := d.manager.Frozen("a")
-	d.step(FreezeCleared{Service: "a", Freeze: freeze})
-	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
-	called := d.calls[0].InstanceID
-	d.step(CallEnded{Result: PlatformResult{Number: d.calls[0].Number, Outcome: Accepted, Code: 200}})
-	d.wait(promoteWait - time.Second)
-	is.Equal(len(d.changes), 1)
-	d.wait(2 * time.Second)
-	is.Equal(len(d.changes), 2)
-	is.True(d.changes[1].Intent.InstanceID != called)
+	h := frozenAfterCrash()
+	h.answers["a2"] = replicaAt(12)
+	freeze, _ := h.manager.Frozen("a")
+	h.step(FreezeCleared{Service: "a", Freeze: freeze})
+	h.step(ChangeDecided{Request: h.changes[0].Request, Committed: true})
+	called := h.calls[0].InstanceID
+	h.step(CallEnded{Result: PlatformResult{Number: h.calls[0].Number, Outcome: Accepted, Code: 200}})
+	h.wait(promoteWait - time.Second)
+	is.Equal(len(h.changes), 1)
+	h.wait(2 * time.Second)
+	is.Equal(len(h.changes), 2)
+	is.True(h.changes[1].Intent.InstanceID != called)
 }
 
 func TestUnknownOutcomeIsNotRepeated(t *testing.T) {
 	is := is.New(t)
-	d := crashed()
-	freeze, _ := d.manager.Frozen("a")
-	d.step(FreezeCleared{Service: "a", Freeze: freeze})
-	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
-	d.step(CallEnded{Result: PlatformResult{Number: d.calls[0].Number, Outcome: OutcomeUnknown}})
-	d.wait(3 * time.Second)
-	is.Equal(len(d.changes), 1)
-	d.wait(2 * time.Second)
-	is.Equal(len(d.changes), 2) // the target has long answered that it doesn't lead
-	is.Equal(d.changes[1].Intent.InstanceID, "a3")
-	delete(d.answers, "a3")
-	d.step(ChangeDecided{Request: d.changes[1].Request, Committed: false})
-	d.wait(8 * time.Second)
-	is.Equal(len(d.changes), 2) // the target is gone, but its call may be on its way: no other is chosen
+	h := frozenAfterCrash()
+	freeze, _ := h.manager.Frozen("a")
+	h.step(FreezeCleared{Service: "a", Freeze: freeze})
+	h.step(ChangeDecided{Request: h.changes[0].Request, Committed: true})
+	h.step(CallEnded{Result: PlatformResult{Number: h.calls[0].Number, Outcome: OutcomeUnknown}})
+	h.wait(3 * time.Second)
+	is.Equal(len(h.changes), 1)
+	h.wait(2 * time.Second)
+	is.Equal(len(h.changes), 2) // the target has long answered that it doesn't lead
+	is.Equal(h.changes[1].Intent.InstanceID, "a3")
+	delete(h.answers, "a3")
+	h.step(ChangeDecided{Request: h.changes[1].Request, Committed: false})
+	h.wait(8 * time.Second)
+	is.Equal(len(h.changes), 2) // the target is gone, but its call may be on its way: no other is chosen
 }
 
-func TestCallsKeepToThePace(t *testing.T) {
+func TestCallsKeepToTheAllowedRate(t *testing.T) {
 	is := is.New(t)
-	d := crashed()
-	d.manager.settings.CallsPerSecond = 0.5
-	d.manager.paceCall(d.now)
-	freeze, _ := d.manager.Frozen("a")
-	d.step(FreezeCleared{Service: "a", Freeze: freeze})
-	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
-	d.wait(1900 * time.Millisecond)
-	is.Equal(len(d.calls), 0)
-	d.wait(200 * time.Millisecond)
-	is.Equal(len(d.calls), 1)
+	h := frozenAfterCrash()
+	h.manager.settings.CallsPerSecond = 0.5
+	h.manager.delayNextCall(h.now)
+	freeze, _ := h.manager.Frozen("a")
+	h.step(FreezeCleared{Service: "a", Freeze: freeze})
+	h.step(ChangeDecided{Request: h.changes[0].Request, Committed: true})
+	h.wait(1900 * time.Millisecond)
+	is.Equal(len(h.calls), 0)
+	h.wait(200 * time.Millisecond)
+	is.Equal(len(h.calls), 1)
 }
 
-func TestCalmCostsFewProbes(t *testing.T) {
+func TestHealthyServiceIsProbedRarely(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(threeInstances("a1"))
+	h := newHarness(threeInstances("a1"))
 	leading := replicaAt(12)
 	leading.Primary = true
-	d.answers["a1"], d.answers["a2"], d.answers["a3"] = leading, replicaAt(12), replicaAt(12)
+	h.answers["a1"], h.answers["a2"], h.answers["a3"] = leading, replicaAt(12), replicaAt(12)
 	beats := func() {
 		for _, id := range []string{"a1", "a2", "a3"} {
-			d.step(Heartbeat{InstanceID: id, Service: "a", Primary: id == "a1"})
+			h.step(Heartbeat{InstanceID: id, Service: "a", Primary: id == "a1"})
 		}
 	}
 	for range 5 {
 		beats()
-		d.wait(time.Second)
+		h.wait(time.Second)
 	}
-	before := d.manager.numbers
+	before := h.manager.lastNumber
 	for range 30 {
 		beats()
-		d.wait(time.Second)
+		h.wait(time.Second)
 	}
-	is.True(d.manager.numbers-before <= 10) // the leader each three seconds, and nobody else
+	is.True(h.manager.lastNumber-before <= 10) // only the leader, every three seconds
 }
 
-// TestManyServicesAreLookedAtInTurn has a controller take a hundred services over: asking all instances at once would keep it too busy
-// to hear the answers in time, and the first heartbeat of a leader is no change of role.
-func TestManyServicesAreLookedAtInTurn(t *testing.T) {
+// TestFirstProbesOfManyServicesAreSpread has a controller take over a hundred services: probing all instances at once would keep it too
+// busy to receive the answers in time. The first heartbeat of a leader must not count as a change of role.
+func TestFirstProbesOfManyServicesAreSpread(t *testing.T) {
 	is := is.New(t)
 	leading := replicaAt(12)
 	leading.Primary = true
@@ -281,79 +281,80 @@
 	}
 	views[90].Instances[0].Draining = true
 	views[91].Leader.InstanceID = "gone"
-	d := newDesk(views...)
-	is.Equal(d.manager.numbers, uint64(9)) // the first service, the one that drains and the one whose leader is gone
+	h := newHarness(views...)
+	is.Equal(h.manager.lastNumber, uint64(9)) // the first service, the one that drains and the one whose leader is gone
 	for _, view := range views {
 		for _, instance := range view.Instances {
-			d.answers[instance.ID] = replicaAt(12)
+			h.answers[instance.ID] = replicaAt(12)
 		}
-		d.answers[view.Leader.InstanceID] = leading
+		h.answers[view.Leader.InstanceID] = leading
 	}
 	for range 4 {
 		for _, view := range views {
 			for _, instance := range view.Instances {
-				d.step(Heartbeat{InstanceID: instance.ID, Service: view.Name, Primary: instance.ID == view.Leader.InstanceID})
+				h.step(Heartbeat{InstanceID: instance.ID, Service: view.Name, Primary: instance.ID == view.Leader.InstanceID})
 			}
 		}
-		d.wait(time.Second)
+		h.wait(time.Second)
 	}
-	is.True(d.manager.numbers < 600) // five for each service; sixteen when first heartbeats counted as changes of role
+	is.True(h.manager.lastNumber < 600) // five for each service; sixteen when first heartbeats counted as changes of role
 }
 
-// lonelyDrain is a service whose leader is alone and drains, after the time in which statements may reach it.
-func lonelyDrain(lacking guard.Set) (d *desk, broken []string) {
+// loneDrainingLeader plays a service whose only instance leads and drains, until statements may no longer reach it.
+func loneDrainingLeader(lacking guard.Set) (h *harness, broken []string) {
 	view := ServiceView{Name: "a", Leader: feed.Leader{InstanceID: "a1", Term: 3}}
 	view.Instances = []feed.Instance{{ID: "a1", Service: "a", Address: "a1"}}
-	d = newDesk(view)
-	d.manager.settings.DisabledGuards = lacking
+	h = newHarness(view)
+	h.manager.settings.DisabledGuards = lacking
 	leading := replicaAt(12)
 	leading.Primary = true
-	d.answers["a1"] = leading
-	d.wait(time.Second)
+	h.answers["a1"] = leading
+	h.wait(time.Second)
 	view.Instances = []feed.Instance{{ID: "a1", Service: "a", Address: "a1", Draining: true}}
-	d.step(CommittedState{Services: []ServiceView{view}})
-	for end := d.now + DefaultSettings().DrainLimit; d.now < end; d.now += tickEvery {
-		for _, event := range d.manager.Step(d.now, Tick{}).Events {
+	h.step(CommittedState{Services: []ServiceView{view}})
+	for end := h.now + DefaultSettings().DrainLimit; h.now < end; h.now += tickEvery {
+		for _, event := range h.manager.Step(h.now, Tick{}).Events {
 			if event.What == invariant.Broken {
 				broken = append(broken, event.Text)
 			}
 		}
 	}
-	return d, broken
+	return h, broken
 }
 
 func TestLoneDrainingLeaderIsFrozenInTime(t *testing.T) {
 	is := is.New(t)
-	d, broken := lonelyDrain(0)
-	_, frozen := d.manager.Frozen("a")
+	h, broken := loneDrainingLeader(0)
+	_, frozen := h.manager.Frozen("a")
 	is.True(frozen)
 	is.Equal(len(broken), 0)
 
-	d, broken = lonelyDrain(guard.Set(0).Without(guard.LoneLeaderFrozen))
-	_, frozen = d.manager.Frozen("a")
+	h, broken = loneDrainingLeader(guard.Set(0).Without(guard.LoneLeaderFrozen))
+	_, frozen = h.manager.Frozen("a")
 	is.True(!frozen)
 	is.Equal(broken, []string{invariant.DrainedLeaderIsFrozen + ": a: a1"}) // told once
 }
 
-func TestTimeThatADrainLeaves(t *testing.T) {
+func TestDrainLimitsCountDown(t *testing.T) {
 	is := is.New(t)
 	view := threeInstances("a1")
-	d := newDesk(view)
-	is.Equal(len(d.manager.DrainLimits(d.now)), 0)
-	d.now = time.Second
+	h := newHarness(view)
+	is.Equal(len(h.manager.DrainLimits(h.now)), 0)
+	h.now = time.Second
 	view.Instances = append([]feed.Instance(nil), view.Instances...)
 	view.Instances[1].Draining = true
-	d.step(CommittedState{Services: []ServiceView{view}})
-	is.Equal(d.manager.DrainLimits(3*time.Second), []feed.DrainLimit{{InstanceID: "a2", Left: 4 * time.Second}}) // of 7 s, 1 s of them kept back
-	is.Equal(d.manager.DrainLimits(time.Minute), []feed.DrainLimit{{InstanceID: "a2"}})
+	h.step(CommittedState{Services: []ServiceView{view}})
+	// Of the 7 s of DrainLimit, DrainMargin takes 1 s, and 2 s have passed.
+	is.Equal(h.manager.DrainLimits(3*time.Second), []feed.DrainLimit{{InstanceID: "a2", Left: 4 * time.Second}})
+	is.Equal(h.manager.DrainLimits(time.Minute), []feed.DrainLimit{{InstanceID: "a2"}})
 
-	late := feed.Instance{ID: "a4", Service: "a", Address: "a4", Draining: true} // it drains when it is met first
+	late := feed.Instance{ID: "a4", Service: "a", Address: "a4", Draining: true} // it is draining when first seen
 	view.Instances = append(view.Instances, late)
-	d.step(CommittedState{Services: []ServiceView{view}})
-	is.Equal(d.manager.DrainLimits(3 * time.Second)[1], feed.DrainLimit{InstanceID: "a4"})
+	h.step(CommittedState{Services: []ServiceView{view}})
+	is.Equal(h.manager.DrainLimits(3 * time.Second)[1], feed.DrainLimit{InstanceID: "a4"})
 	view.Instances = view.Instances[:3]
 
-	next := New(0, DefaultSettings()) // another holder doesn't know since when
+	next := New(0, DefaultSettings()) // another holder doesn't know when the drain began
 	next.Step(0, CommittedState{Services: []ServiceView{view}})
 	is.Equal(next.DrainLimits(0), []feed.DrainLimit{{InstanceID: "a2"}})
 }
@@ -369,25 +370,25 @@
 	}
 }
 
-// orphaned is a service whose leader, which was alone, is gone, and to which a new instance with an empty log has come, at a manager that
-// has met nobody else.
-func orphaned(change func(*ServiceView)) *desk {
+// orphaned plays a service whose only instance, the leader, is gone and to which a new instance with an empty log was added. The manager
+// has seen no other instance.
+func orphaned(change func(*ServiceView)) *harness {
 	view := ServiceView{Name: "a", SyncReplicas: 1, Leader: feed.Leader{InstanceID: "a1", Term: 3}}
 	view.Instances = []feed.Instance{{ID: "a1", Service: "a", Address: "a1"}, {ID: "a4", Service: "a", Address: "a4"}}
 	change(&view)
-	d := newDesk(view)
-	d.answers["a4"] = Status{}
-	d.wait(2 * time.Second)
-	freeze, _ := d.manager.Frozen("a")
-	d.step(FreezeCleared{Service: "a", Freeze: freeze})
-	d.wait(2 * time.Second)
-	return d
+	h := newHarness(view)
+	h.answers["a4"] = Status{}
+	h.wait(2 * time.Second)
+	freeze, _ := h.manager.Frozen("a")
+	h.step(FreezeCleared{Service: "a", Freeze: freeze})
+	h.wait(2 * time.Second)
+	return h
 }
 
-func TestWhatTheDepartedMayHoldIsKnownAfterATakeover(t *testing.T) {
+func TestDepartedCopiesBlockTheChoiceAfterATakeover(t *testing.T) {
 	is := is.New(t)
 	unknown := orphaned(func(*ServiceView) {})
-	is.Equal(len(unknown.changes), 1) // nothing speaks against the new one: it is chosen
+	is.Equal(len(unknown.changes), 1) // no earlier copy is known, so the new instance is chosen
 	is.Equal(unknown.changes[0].Intent.InstanceID, "a4")
 
 	covered := orphaned(func(view *ServiceView) { view.Floor = Position{Term: 3, Number: 7} })
@@ -398,23 +399,23 @@
 	is.Equal(len(uncovered.changes), 0)
 }
 
-// Once the leader's position was read after a departure, it is recorded for later holders.
+// TestDepartureIsCoveredByTheLeadersPosition checks that the leader's position, read after a departure, is recorded for later holders.
 func TestDepartureIsCoveredByTheLeadersPosition(t *testing.T) {
 	is := is.New(t)
 	view := threeInstances("a1")
-	d := newDesk(view)
+	h := newHarness(view)
 	leading := replicaAt(12)
 	leading.Primary = true
-	d.answers["a1"], d.answers["a2"], d.answers["a3"] = leading, replicaAt(12), replicaAt(11)
-	d.wait(time.Second)
+	h.answers["a1"], h.answers["a2"], h.answers["a3"] = leading, replicaAt(12), replicaAt(11)
+	h.wait(time.Second)
 	view.Instances = view.Instances[:2]
-	d.step(CommittedState{Services: []ServiceView{view}})
-	d.wait(departureMargin)
-	is.Equal(len(d.changes), 0)
-	d.wait(time.Second)
-	is.Equal(len(d.changes), 1)
-	is.Equal(*d.changes[0].Covered, CoveredDeparture{Service: "a", InstanceID: "a3", Position: Position{Term: 3, Number: 12}})
-	d.step(ChangeDecided{Request: d.changes[0].Request, Committed: true})
-	d.wait(time.Second)
-	is.Equal(len(d.changes), 1)
+	h.step(CommittedState{Services: []ServiceView{view}})
+	h.wait(departureMargin)
+	is.Equal(len(h.changes), 0)
+	h.wait(time.Second)
+	is.Equal(len(h.changes), 1)
+	is.Equal(*h.changes[0].Covered, CoveredDeparture{Service: "a", InstanceID: "a3", Position: Position{Term: 3, Number: 12}})
+	h.step(ChangeDecided{Request: h.changes[0].Request, Committed: true})
+	h.wait(time.Second)
+	is.Equal(len(h.changes), 1)
 }
--- a/control/failover/member.go
+++ b/control/failover/member.go
@@ -14,145 +14,147 @@
 	departed   bool // it has left or was lost; its log may still matter
 	departedAt time.Duration
 
-	drainSince  time.Duration // when it was first known to be draining
-	drainBefore bool          // it drained when it was first met: its drain was acknowledged at an unknown time
-	lastLife    time.Duration // last heartbeat or answer
-	beatPrimary bool          // its last heartbeat said that it leads
-	lastBeat    time.Duration // 0: none yet
-	beatGap     time.Duration // between the last two heartbeats, or the two before, whichever is longer
-
-	known        bool // status is set
-	status       Status
-	statusAt     time.Duration // when the question that brought the status was sent
-	failures     int           // probes in a row without an answer
-	failingSince time.Duration
-	refusals     int // connections refused in a row, with nothing else between: the process isn't running
-	refusedSince time.Duration
-	cover        *Position // position of the leader, read after this one had fallen silent or left
-	coverDead    bool      // it stands only while connections are refused
+	drainSince        time.Duration // when it was first known to be draining
+	drainStartUnknown bool          // it was draining when first seen: its drain was acknowledged at an unknown time
+	lastAliveAt       time.Duration // last heartbeat or answer
+	beatSaysPrimary   bool          // its last heartbeat said that it leads
+	lastBeatAt        time.Duration // 0: none yet
+	beatInterval      time.Duration // the last interval between heartbeats, or its mean with the previous estimate if that is longer
+
+	hasStatus        bool // status is set
+	status           Status
+	statusAskedAt    time.Duration // when the question that the status answers was sent
+	failures         int           // consecutive probes without an answer
+	failingSince     time.Duration
+	refusals         int // consecutive refused connections: the process isn't running
+	refusedSince     time.Duration
+	cover            *Position // position of the leader, read after this instance had fallen silent or left
+	coverIsTentative bool      // the cover holds only as long as connections are refused
 
 	outstanding [probeKinds]uint64
 	askedAt     [probeKinds]time.Duration
-	asked       [probeKinds]bool
-
-	held         bool // it keeps still in the term of the round
-	heldAt       time.Duration
-	heldPosition Position
-	pauseLost    bool // its process was found not to run since the freeze: it forgets a pause when it restarts
-	pauseAsked   bool // in this round
-	pauseAskedAt time.Duration
-
-	mayBePaused   bool   // a pause was sent, and no CONTINUE has been answered since
-	continuedHeld uint64 // its term held at the last CONTINUE
-	continuedFor  uint64 // the leader's term at that time
-	mustStepDown  bool
-	calledInVain  bool // a call for it was accepted, and it didn't lead
+	wasAsked    [probeKinds]bool
+
+	isPaused         bool // confirmed: it receives nothing, in the term of the round
+	pauseConfirmedAt time.Duration
+	pausedPosition   Position
+	pauseLost        bool // its process was found not to run since the freeze: a restart ends the pause
+	pauseSent        bool // in this round
+	pauseSentAt      time.Duration
+
+	mayBePaused        bool   // a pause was sent, and no CONTINUE has been answered since
+	continueTermHeld   uint64 // its TermHeld at the last CONTINUE
+	continueLeaderTerm uint64 // the leader's term at that time
+	mustStepDown       bool
+	callHadNoEffect    bool // a call for it was accepted, and it didn't become primary
 }
 
-// leads tells whether the last status, if it is no older than since, shows a primary.
-func (i *member) leads(since time.Duration) bool {
-	return i.known && i.status.Primary && i.statusAt >= since
+// leadsSince reports whether the last status shows a primary and was asked for no earlier than the given time.
+func (m *member) leadsSince(since time.Duration) bool {
+	return m.hasStatus && m.status.Primary && m.statusAskedAt >= since
 }
 
-func (i *member) answered(since time.Duration) bool { return i.known && i.statusAt >= since }
+func (m *member) answeredSince(since time.Duration) bool {
+	return m.hasStatus && m.statusAskedAt >= since
+}
 
-// newest is the highest term that the instance is known to have met.
-func (i *member) newest() uint64 {
-	if !i.known {
+// highestTerm returns the highest term that the instance is known to have seen.
+func (m *member) highestTerm() uint64 {
+	if !m.hasStatus {
 		return 0
 	}
-	return max(i.status.Term, i.status.TermHeld, i.status.Received.Term)
+	return max(m.status.Term, m.status.TermHeld, m.status.Received.Term)
 }
 
-func (i *member) beat(now time.Duration) {
-	if i.lastBeat != 0 {
-		i.beatGap = max(now-i.lastBeat, (i.beatGap+now-i.lastBeat)/2)
+func (m *member) noteBeat(now time.Duration) {
+	if m.lastBeatAt != 0 {
+		m.beatInterval = max(now-m.lastBeatAt, (m.beatInterval+now-m.lastBeatAt)/2)
 	}
-	i.lastBeat = now
+	m.lastBeatAt = now
 }
 
-// beatMissed tells whether a heartbeat is overdue, for as long as that is news.
-func (i *member) beatMissed(now time.Duration) bool {
-	silence := now - i.lastBeat
-	return i.lastBeat != 0 && i.beatGap > 0 && silence > i.beatGap*3/2 && silence < i.beatGap*3
+// isBeatOverdue reports whether a heartbeat is overdue, but not by so much that probing early would tell nothing new.
+func (m *member) isBeatOverdue(now time.Duration) bool {
+	silence := now - m.lastBeatAt
+	return m.lastBeatAt != 0 && m.beatInterval > 0 && silence > m.beatInterval*3/2 && silence < m.beatInterval*3
 }
 
-func (i *member) forgetRound() {
-	i.held, i.pauseAsked, i.pauseLost = false, false, false
+func (m *member) resetRound() {
+	m.isPaused, m.pauseSent, m.pauseLost = false, false, false
 }
 
-// take notes the outcome of a probe as evidence of the instance's life and state.
-func (i *member) take(now time.Duration, result ProbeResult) {
+// applyResult records the result of a probe as evidence of the instance's life and state.
+func (m *member) applyResult(now time.Duration, result ProbeResult) {
 	switch result.Answer {
 	case Answered:
-		i.alive(now)
-		if !i.known || result.Started >= i.statusAt {
-			i.known, i.status, i.statusAt = true, result.Status, result.Started
+		m.noteAlive(now)
+		if !m.hasStatus || result.Started >= m.statusAskedAt {
+			m.hasStatus, m.status, m.statusAskedAt = true, result.Status, result.Started
 		}
 	case Busy:
-		i.alive(now)
+		m.noteAlive(now)
 	default:
-		i.noteRefusal(result)
-		if i.failures == 0 {
-			i.failingSince = result.Started
+		m.noteRefusal(result)
+		if m.failures == 0 {
+			m.failingSince = result.Started
 		}
-		i.failures++
+		m.failures++
 	}
 }
 
-func (i *member) alive(now time.Duration) {
-	i.lastLife, i.failures, i.refusals = now, 0, 0
-	i.cover, i.coverDead = nil, false
+func (m *member) noteAlive(now time.Duration) {
+	m.lastAliveAt, m.failures, m.refusals = now, 0, 0
+	m.cover, m.coverIsTentative = nil, false
 }
 
-func (i *member) noteRefusal(result ProbeResult) {
+func (m *member) noteRefusal(result ProbeResult) {
 	if result.Answer != Refused {
-		i.refusals = 0
-		if i.coverDead {
-			i.cover, i.coverDead = nil, false // it may run again, unheard
+		m.refusals = 0
+		if m.coverIsTentative {
+			m.cover, m.coverIsTentative = nil, false // the process may run again without having been heard
 		}
 		return
 	}
-	i.pauseLost = true
-	if i.refusals == 0 {
-		i.refusedSince = result.Started
+	m.pauseLost = true
+	if m.refusals == 0 {
+		m.refusedSince = result.Started
 	}
-	i.refusals++
+	m.refusals++
 }
 
-// coverBy notes the leader's position, read at the moment given, if the instance can be taken to have received nothing from before
-// that moment until now: it has left; or it has been silent for long, and was asked meanwhile, since this process may have stood
-// still; or its process doesn't run, which holds only as long as the last word is a refusal.
-func (i *member) coverBy(position Position, moment, replicaLost time.Duration) {
-	if i.cover != nil && !i.coverDead {
+// coverBy records the leader's position, read at the given moment, if the instance can be taken to have received nothing from before
+// that moment until now. That holds if it has left; if it has long been silent and was probed meanwhile, since this process may have
+// been stopped; or if its process doesn't run, but then only as long as connections are refused.
+func (m *member) coverBy(position Position, moment, replicaLost time.Duration) {
+	if m.cover != nil && !m.coverIsTentative {
 		return
 	}
-	left := i.departed && moment >= i.departedAt+departureMargin
-	silent := !i.departed && i.failures >= 3 && moment >= max(i.lastLife+replicaLost, i.failingSince+replicaLost/2)
-	dead := !i.departed && i.refusals >= 2 && moment >= i.refusedSince+refusedMargin
-	if left || silent || dead && i.cover == nil {
-		i.cover, i.coverDead = &position, !left && !silent
+	left := m.departed && moment >= m.departedAt+departureMargin
+	silent := !m.departed && m.failures >= 3 && moment >= max(m.lastAliveAt+replicaLost, m.failingSince+replicaLost/2)
+	dead := !m.departed && m.refusals >= 2 && moment >= m.refusedSince+refusedMargin
+	if left || silent || dead && m.cover == nil {
+		m.cover, m.coverIsTentative = &position, !left && !silent
 	}
 }
 
-// drainSpent tells whether an instance has been draining so long that no statement may be begun there from the moment given on.
-func (i *member) drainSpent(from time.Duration, settings Settings) bool {
-	return i.instance.Draining && i.drainLeft(from, settings) == 0
+// isDrainOver reports whether an instance has been draining so long that no statement may be begun there from the given moment on.
+func (m *member) isDrainOver(from time.Duration, settings Settings) bool {
+	return m.instance.Draining && m.drainLeft(from, settings) == 0
 }
 
-// drainLeft is how long statements may yet be begun at an instance that drains. How long it has drained under an earlier
-// holder isn't known: then there is no time left.
-func (i *member) drainLeft(now time.Duration, settings Settings) time.Duration {
-	if i.drainBefore {
+// drainLeft returns how long statements may still be begun at a draining instance. If the drain began under an earlier holder, its
+// start is unknown and no time is left.
+func (m *member) drainLeft(now time.Duration, settings Settings) time.Duration {
+	if m.drainStartUnknown {
 		return 0
 	}
-	return max(0, i.drainSince+settings.DrainLimit-settings.DrainMargin-now)
+	return max(0, m.drainSince+settings.DrainLimit-settings.DrainMargin-now)
 }
 
-func (i *member) note(now time.Duration, instance feed.Instance) {
-	if instance.Draining && !i.instance.Draining {
-		i.drainSince = now
+func (m *member) update(now time.Duration, instance feed.Instance) {
+	if instance.Draining && !m.instance.Draining {
+		m.drainSince = now
 	}
-	i.drainBefore = i.drainBefore && instance.Draining
-	i.instance = instance
+	m.drainStartUnknown = m.drainStartUnknown && instance.Draining
+	m.instance = instance
 }
--- a/control/failover/pause.go
+++ b/control/failover/pause.go
@@ -6,194 +6,196 @@
 	"github.com/samber/lo"
 )
 
-// pause makes every replica keep still in a new term, and chooses one of them.
-func (s *service) pause(now time.Duration) {
+// pauseReplicas stops every replica from receiving, in a new term, and chooses one of them.
+func (s *service) pauseReplicas(now time.Duration) {
 	s.probeLeader(now)
-	if s.installIfLed(now) || s.newPrimaryDue(now) {
+	if s.recordLeaderIfSeen(now) || s.isNewPrimaryExpected(now) {
 		return
 	}
-	if s.reasonGone(now) || s.handOverTooLong(now) {
-		s.giveUp(now)
+	if s.isReasonGone(now) || s.handOverTimedOut(now) {
+		s.abandonFailover(now)
 		if s.phase != pausing {
 			return
 		}
 	}
-	if s.why == leaderDrains && !s.catchUp(now) {
+	if s.freezeReason == leaderDraining && !s.awaitCatchUp(now) {
 		return
 	}
-	s.startRound(now)
-	for _, known := range s.present() {
-		s.hold(now, known)
+	s.ensureRound(now)
+	for _, m := range s.presentMembers() {
+		s.pauseMember(now, m)
 	}
-	s.stepDownDraining(now)
+	s.stepDownDrainingLeader(now)
 	s.choose(now)
 }
 
-// newPrimaryDue tells whether an instance was seen to lead the latest term and has not been silent since for long enough to be
-// taken for gone: it is to be recorded once it answers again.
-func (s *service) newPrimaryDue(now time.Duration) bool {
-	found := s.newPrimary(0)
-	if found == nil || found.status.Term < s.latestTerm() {
+// isNewPrimaryExpected reports whether an instance was seen to lead the latest term and has not been silent long enough since to be
+// considered gone: it is to be recorded once it answers again.
+func (s *service) isNewPrimaryExpected(now time.Duration) bool {
+	found := s.findNewPrimary(0)
+	if found == nil || found.status.Term < s.highestLedTerm() {
 		return false
 	}
-	if s.intent != nil && s.intent.InstanceID != found.instance.ID && s.inDoubt(found) {
+	if s.intent != nil && s.intent.InstanceID != found.instance.ID && s.isLeadInDoubt(found) {
 		return false
 	}
-	s.probe(now, found, AskStatus, 0, s.settings().FastProbe)
+	s.probe(now, found, AskStatus, 0, s.settings().FastProbeInterval)
 	return found.failures < 2 || now-found.failingSince < s.settings().SuspectAfter
 }
 
 func (s *service) probeLeader(now time.Duration) {
 	if leader := s.leader(); leader != nil {
-		s.probe(now, leader, AskStatus, 0, s.settings().FastProbe)
+		s.probe(now, leader, AskStatus, 0, s.settings().FastProbeInterval)
 	}
 }
 
-// handOverTooLong ends a planned hand-over that finds no successor. The draining leader goes on for now, if the next attempt comes
-// before statements may no longer reach it.
-func (s *service) handOverTooLong(now time.Duration) bool {
-	hopeless := s.phase == awaiting && s.call.endedAt > s.frozenAt && s.call.watchFor == 0 // the call had no effect
-	if s.why != leaderDrains || now-max(s.frozenAt, s.clearedAt) < handOverLimit && !hopeless {
+// handOverTimedOut ends a planned handover that finds no successor, and reports whether it did. The draining leader goes on for now, if
+// the next attempt comes before statements may no longer reach it.
+func (s *service) handOverTimedOut(now time.Duration) bool {
+	hopeless := s.phase == awaitingEffect && s.call.endedAt > s.frozenAt && s.call.watchFor == 0 // the call had no effect
+	if s.freezeReason != leaderDraining || now-max(s.frozenAt, s.clearedAt) < handOverLimit && !hopeless {
 		return false
 	}
 	leader := s.leader()
-	if leader == nil || !s.isLeading(leader, now-statusFresh) {
-		s.why = leaderSilent // it ended on the way: from here on this is an ordinary failover
+	if leader == nil || !s.isLeading(leader, now-statusMaxAge) {
+		s.freezeReason = leaderSilent // the leader ended meanwhile: from here on this is an ordinary failover
 		return false
 	}
-	if leader.drainSpent(now+handOverRetry, s.settings()) {
+	if leader.isDrainOver(now+handOverRetry, s.settings()) {
 		return false
 	}
-	s.handOver = now + handOverRetry
+	s.nextHandOverAt = now + handOverRetry
 	return true
 }
 
-// catchUp waits, before anything is paused, for a replica that stays to reach the draining leader's position, and after a while
-// for one that ends later than the leader. Nothing is written meanwhile: every gateway keeps the freeze.
-func (s *service) catchUp(now time.Duration) bool {
+// awaitCatchUp waits, before anything is paused, for a replica that isn't draining to reach the draining leader's position, and after a
+// while for one whose drain ends later than the leader's. Nothing is written meanwhile: every gateway keeps the freeze.
+func (s *service) awaitCatchUp(now time.Duration) bool {
 	if s.caughtUp {
 		return true
 	}
 	leader := s.leader()
 	if leader == nil {
-		s.why = leaderSilent
+		s.freezeReason = leaderSilent
 		return true
 	}
-	s.releasePaused(now)
-	for _, known := range s.present() {
-		s.probe(now, known, AskStatus, 0, catchUpProbe)
+	s.resumePaused(now)
+	for _, m := range s.presentMembers() {
+		s.probe(now, m, AskStatus, 0, catchUpProbeInterval)
 	}
 	if !s.isLeading(leader, s.clearedAt) {
 		return false
 	}
-	s.caughtUp = lo.ContainsBy(s.present(), func(i *member) bool {
-		stays := !i.instance.Draining || now-s.clearedAt >= catchUpWait && i.drainSince > leader.drainSince
-		return i != leader && stays && i.answered(s.clearedAt) && !i.status.Primary &&
-			!i.status.Received.Less(leader.status.Received)
+	s.caughtUp = lo.ContainsBy(s.presentMembers(), func(m *member) bool {
+		stays := !m.instance.Draining || now-s.clearedAt >= catchUpWait && m.drainSince > leader.drainSince
+		return m != leader && stays && m.answeredSince(s.clearedAt) && !m.status.Primary &&
+			!m.status.Received.Less(leader.status.Received)
 	})
 	return s.caughtUp
 }
 
-// startRound begins a round of pauses in a new term, if there is none or its answers have grown old.
-func (s *service) startRound(now time.Duration) {
-	outdated := s.round == 0
-	for _, known := range s.members {
-		tooOld := known.held && now-known.heldAt > heldFresh
-		tooHigh := known.pauseAsked && !known.held && known.newest() > s.round && known.statusAt >= known.pauseAskedAt
+// ensureRound begins a round of pauses in a new term, if there is none, if its answers are too old or if a
+// member has met a higher term.
+func (s *service) ensureRound(now time.Duration) {
+	outdated := s.roundTerm == 0
+	for _, m := range s.members {
+		tooOld := m.isPaused && now-m.pauseConfirmedAt > pauseMaxAge
+		tooHigh := m.pauseSent && !m.isPaused && m.highestTerm() > s.roundTerm && m.statusAskedAt >= m.pauseSentAt
 		outdated = outdated || tooOld || tooHigh
 	}
 	if !outdated {
 		return
 	}
 	s.endRound()
-	s.round = s.highestTerm() + 2 // the term between is for stepping down, so that a pause in the round's term can follow
-	s.highest, s.roundAt = s.round, now
+	s.roundTerm = s.highestKnownTerm() + 2 // the term between is for STEPDOWN, so that a pause in the round's term can follow
+	s.highestRoundTerm, s.roundStartedAt = s.roundTerm, now
 }
 
-// stepDownTerm is above every term led and below the round's. One that has stepped down receives like any replica: only the pause that
-// follows makes it keep still.
-func (s *service) stepDownTerm() uint64 { return s.round - 1 }
+// stepDownTerm is above every term led and below the round's. An instance that has stepped down receives like any replica: only the
+// pause that follows stops it from receiving.
+func (s *service) stepDownTerm() uint64 { return s.roundTerm - 1 }
 
-// hold asks an instance to keep still. After a lost answer its status tells whether it does.
-func (s *service) hold(now time.Duration, i *member) {
-	if s.manager.guards.positionsUnpaused {
-		s.holdUnpaused(now, i)
+// pauseMember asks an instance to receive nothing more. If the answer is lost, its status tells whether it is paused.
+func (s *service) pauseMember(now time.Duration, m *member) {
+	if s.manager.overrides.allowUnpausedPositions {
+		s.acceptUnpaused(now, m)
 		return
 	}
-	if i.held || i.outstanding[AskContinue] != 0 {
-		return // a CONTINUE on its way might arrive after the pause
+	if m.isPaused || m.outstanding[AskContinue] != 0 {
+		return // a CONTINUE in flight might arrive after the pause
 	}
-	if i.leads(0) {
-		s.holdPrimary(now, i)
+	if m.leadsSince(0) {
+		s.pausePrimary(now, m)
 		return
 	}
-	if i == s.leader() && !i.answered(s.frozenAt) {
+	if m == s.leader() && !m.answeredSince(s.frozenAt) {
 		return
 	}
-	if i.pauseAsked && i.failures > 0 {
-		s.probe(now, i, AskStatus, 0, s.settings().FastProbe)
+	if m.pauseSent && m.failures > 0 {
+		s.probe(now, m, AskStatus, 0, s.settings().FastProbeInterval)
 		return
 	}
-	if s.probe(now, i, AskPause, s.round, s.settings().FastProbe) {
-		if !i.pauseAsked {
-			i.pauseAsked, i.pauseAskedAt = true, now
+	if s.probe(now, m, AskPause, s.roundTerm, s.settings().FastProbeInterval) {
+		if !m.pauseSent {
+			m.pauseSent, m.pauseSentAt = true, now
 		}
-		i.mayBePaused = true
+		m.mayBePaused = true
 	}
 }
 
-// pauseAgain pauses those whose pause is missing while a call is due or on its way: they have restarted, or weren't there when the
-// others were paused. An old leader that comes back from a cut could have its commits received by them until the promote.
-func (s *service) pauseAgain(now time.Duration) {
-	if s.intent == nil || !s.cleared || s.manager.guards.positionsUnpaused {
+// renewPauses pauses the instances that lack a pause while a call is due or in progress: they have restarted, or were absent when the
+// others were paused. Without it they could receive commits of an old leader that returns from a partition, until the promote.
+func (s *service) renewPauses(now time.Duration) {
+	if s.intent == nil || !s.cleared || s.manager.overrides.allowUnpausedPositions {
 		return
 	}
-	for _, known := range s.present() {
-		follows := !known.status.Primary && known.status.Term <= s.intent.Previous.Term
-		missing := known.pauseLost || known.status.TermHeld < s.intent.Term
-		if known.instance.ID == s.intent.InstanceID || !known.answered(now-statusFresh) || !follows || !missing {
+	for _, m := range s.presentMembers() {
+		follows := !m.status.Primary && m.status.Term <= s.intent.Previous.Term
+		missing := m.pauseLost || m.status.TermHeld < s.intent.Term
+		if m.instance.ID == s.intent.InstanceID || !m.answeredSince(now-statusMaxAge) || !follows || !missing {
 			continue
 		}
-		if s.probe(now, known, AskPause, s.highestTerm()+1, replicaProbe) {
-			known.mayBePaused = true
+		if s.probe(now, m, AskPause, s.highestKnownTerm()+1, replicaProbeInterval) {
+			m.mayBePaused = true
 		}
 	}
 }
 
-// holdPrimary makes one that led an earlier term, or may have been followed unseen, step down. The others are asked whether they lead still.
-func (s *service) holdPrimary(now time.Duration, i *member) {
-	if s.deposed(i) || s.doubt {
-		s.probe(now, i, AskStepDown, s.stepDownTerm(), s.settings().FastProbe)
+// pausePrimary makes an instance step down that led an earlier term, or that may have been succeeded unseen. Any other primary is
+// asked whether it still leads.
+func (s *service) pausePrimary(now time.Duration, m *member) {
+	if s.isDeposed(m) || s.leadInDoubt {
+		s.probe(now, m, AskStepDown, s.stepDownTerm(), s.settings().FastProbeInterval)
 		return
 	}
-	s.probe(now, i, AskStatus, 0, s.settings().FastProbe)
+	s.probe(now, m, AskStatus, 0, s.settings().FastProbeInterval)
 }
 
-// holdUnpaused is what the guard keeps from happening.
-func (s *service) holdUnpaused(now time.Duration, i *member) {
-	s.probe(now, i, AskStatus, 0, s.settings().FastProbe)
-	if i.answered(s.roundAt) && !i.status.Primary {
-		i.held, i.heldAt, i.heldPosition = true, now, i.status.Received
+// acceptUnpaused takes positions without a pause. Only tests that disable the pause use it.
+func (s *service) acceptUnpaused(now time.Duration, m *member) {
+	s.probe(now, m, AskStatus, 0, s.settings().FastProbeInterval)
+	if m.answeredSince(s.roundStartedAt) && !m.status.Primary {
+		m.isPaused, m.pauseConfirmedAt, m.pausedPosition = true, now, m.status.Received
 	}
 }
 
-// stepDownDraining asks a draining leader that can't go on itself to step down, when a replica is silent and one that is held has all that the
+// stepDownDrainingLeader asks a draining leader that must end to step down, when a replica is silent and a paused one has all that the
 // leader had.
-func (s *service) stepDownDraining(now time.Duration) {
+func (s *service) stepDownDrainingLeader(now time.Duration) {
 	leader := s.leader()
-	if leader == nil || s.why != leaderDrains && !leader.drainSpent(now, s.settings()) {
+	if leader == nil || s.freezeReason != leaderDraining && !leader.isDrainOver(now, s.settings()) {
 		return
 	}
-	if now-s.roundAt < stepDownAfter || !s.isLeading(leader, s.clearedAt) {
+	if now-s.roundStartedAt < stepDownAfter || !s.isLeading(leader, s.clearedAt) {
 		return
 	}
-	held := s.heldMembers()
-	ready := lo.ContainsBy(held, func(i *member) bool { return !i.heldPosition.Less(leader.status.Received) })
-	if ready && len(s.proof(s.furthest(held), held)) > 0 {
-		s.probe(now, leader, AskStepDown, s.stepDownTerm(), s.settings().FastProbe)
+	held := s.pausedMembers()
+	ready := lo.ContainsBy(held, func(m *member) bool { return !m.pausedPosition.Less(leader.status.Received) })
+	if ready && len(s.blockingInstances(s.furthest(held), held)) > 0 {
+		s.probe(now, leader, AskStepDown, s.stepDownTerm(), s.settings().FastProbeInterval)
 	}
 }
 
-func (s *service) heldMembers() []*member {
-	return lo.Filter(s.present(), func(i *member, _ int) bool { return i.held })
+func (s *service) pausedMembers() []*member {
+	return lo.Filter(s.presentMembers(), func(m *member, _ int) bool { return m.isPaused })
 }
--- a/control/failover/scenario_test.go
+++ b/control/failover/scenario_test.go
@@ -14,8 +14,8 @@
 	"eiderway/testing/scenario"
 )
 
-// TestScenarios plays the files of testdata. A line "world KEY VALUE..." shapes the world; "at TIME VERB ..." does something,
-// "check TIME ..." looks. The judge's rules hold in every scenario.
+// TestScenarios plays the files of testdata. A line "world KEY VALUE..." configures the world, "at TIME VERB ..." performs an action
+// and "check TIME ..." checks the state. The checker's rules hold in every scenario.
 func TestScenarios(t *testing.T) { scenario.Each(t, playScenario) }
 
 func playScenario(t *testing.T, file string) {
@@ -36,8 +36,8 @@
 		}
 		w.runUntil(when)
 		if fields[0] == "check" {
-			if fault := w.check(fields[2:]); fault != "" {
-				t.Errorf("%s: at %v %s", line.Place, when, fault)
+			if violation := w.check(fields[2:]); violation != "" {
+				t.Errorf("%s: at %v %s", line.Place, when, violation)
 			}
 			continue
 		}
@@ -45,8 +45,8 @@
 			t.Fatalf("%s: unknown", line.Place)
 		}
 	}
-	for _, fault := range w.judge.faults {
-		t.Error(fault)
+	for _, violation := range w.checker.violations {
+		t.Error(violation)
 	}
 	if t.Failed() || os.Getenv("FAILOVER_LOG") != "" {
 		t.Log("\n" + strings.Join(w.events, "\n"))
@@ -89,7 +89,7 @@
 	case "lag":
 		of.lag, _ = time.ParseDuration(fields[2])
 	case "pause":
-		of.held, of.paused = of.held+1, true
+		of.termHeld, of.paused = of.termHeld+1, true
 	case "drain":
 		w.drain(of)
 	case "leave":
@@ -97,7 +97,7 @@
 	case "takeover":
 		w.takeOver()
 	case "platform":
-		w.platform.trouble = strings.TrimSuffix(fields[1], "ok")
+		w.platform.faultMode = strings.TrimSuffix(fields[1], "ok")
 		if len(fields) > 2 {
 			w.platform.lateBy, _ = time.ParseDuration(fields[2])
 		}
@@ -109,7 +109,8 @@
 	return true
 }
 
-// cutOff cuts an instance from another end: from an instance, a gateway, "core" (all controllers) or "gateways".
+// cutOff cuts an instance or gateway off from another end, or ends the cut. The other end is an instance, a gateway, "core" (all
+// controllers) or "gateways".
 func (w *world) cutOff(id, from string, is bool) {
 	switch from {
 	case "core":
@@ -136,10 +137,10 @@
 	w.current.tellWorld()
 }
 
-// restartTakes is longer than a commit waits for a replica: a pause that a restart ended has outlasted what was under way.
+// restartTakes is longer than a commit waits for a replica: once a restart ends a pause, no commit from before the pause is waiting.
 const restartTakes = writeTimeout + 200*time.Millisecond
 
-// leave ends an instance. A new one comes at its address, with its log.
+// leave ends an instance, and starts a new one with its address and log.
 func (w *world) leave(d *database) {
 	view := w.committed[d.service]
 	for _, gone := range view.Instances {
@@ -154,7 +155,7 @@
 	w.addInstance(d.service, d.id+"+", d.log, false)
 	view.Instances[len(view.Instances)-1].Address = "at-" + strings.TrimRight(d.id, "+")
 	next := w.instances[d.id+"+"]
-	next.term, next.held, next.up = d.term, d.held, false
+	next.term, next.termHeld, next.up = d.term, d.termHeld, false
 	w.after(restartTakes, next.start)
 	w.current.tellWorld()
 }
@@ -178,7 +179,7 @@
 			got = view.Intent.InstanceID
 		}
 	case "calls":
-		got = strconv.Itoa(len(w.judge.calls[service]))
+		got = strconv.Itoa(len(w.checker.calls[service]))
 	case "paused":
 		var paused []string
 		for _, d := range w.of(service) {
@@ -195,11 +196,11 @@
 			}
 		}
 		got = strings.Join(found, ",")
-	case "acks": // fresh: one in the last half second
-		got = strconv.FormatBool(w.now-w.judge.ackedAt[service] < 500*time.Millisecond)
-	case "gap": // the longest time without one is no longer
+	case "acks": // whether one was made in the last half second
+		got = strconv.FormatBool(w.now-w.checker.ackedAt[service] < 500*time.Millisecond)
+	case "gap": // the longest time without an acknowledgement is at most the given one
 		limit, _ := time.ParseDuration(fields[1])
-		if gap := w.judge.gap[service]; gap > limit {
+		if gap := w.checker.gap[service]; gap > limit {
 			return fmt.Sprintf("gap is %v", gap)
 		}
 		return ""
--- a/control/failover/search_test.go
+++ b/control/failover/search_test.go
@@ -13,23 +13,23 @@
 
 const (
 	searchLength = 40 * time.Second
-	calmLength   = 40 * time.Second // after the last trouble, in which all must come right
+	settleLength = 40 * time.Second // after the last fault; every service must recover within it
 )
 
-// TestSearch plays random troubles on small worlds. No rule may be broken, and every service must be served in the end.
+// TestSearch injects random faults into small worlds. No safety rule may be broken, and every service must be served in the end.
 func TestSearch(t *testing.T) {
 	seeds := searchSeeds(t)
 	for seed := range seeds {
-		w := playTroubles(seed, guards{}, false)
-		if faults := append(w.judge.faults, w.unserved()...); len(faults) > 0 {
-			t.Errorf("seed %d:\n%s", seed, strings.Join(faults, "\n"))
+		w := playRandomFaults(seed, safetyOverrides{}, false)
+		if violations := append(w.checker.violations, w.unservedServices()...); len(violations) > 0 {
+			t.Errorf("seed %d:\n%s", seed, strings.Join(violations, "\n"))
 			t.Log("\n" + strings.Join(w.events, "\n"))
 			return
 		}
 	}
 }
 
-// searchSeeds gives how many histories are played: FAILOVER_SEEDS asks for more.
+// searchSeeds returns how many seeds are played; FAILOVER_SEEDS overrides the default.
 func searchSeeds(t *testing.T) uint64 {
 	wanted, given := os.LookupEnv("FAILOVER_SEEDS")
 	if !given {
@@ -42,30 +42,31 @@
 	return seeds
 }
 
-// TestGuards switches each guard off: the search must find what it is there for, in a history that is sound with the guard. An answer
-// to a commit that the gateway has given up counts here too: it is what pauses are for, beside the freeze.
+// TestGuards disables each safety rule of the manager in turn: the search must then find a violation that the rule prevents, in a history
+// without violations while the rule is in force. Answers to commits that the gateway no longer waits for count here too: pauses protect
+// them, in addition to the freeze.
 func TestGuards(t *testing.T) {
 	cases := []struct {
-		name  string
-		from  uint64 // the first seed tried: near one that has found it before
-		off   guards
-		rules []string
+		name      string
+		from      uint64 // the first seed to try, close to one that is known to find a violation
+		overrides safetyOverrides
+		rules     []string
 	}{
-		{"freeze cleared before pause", 0, guards{pauseUncleared: true}, []string{"FREEZE", "STALE", "ONE"}},
-		{"pause before positions", 570, guards{positionsUnpaused: true}, []string{"LOST"}},
-		{"choice proven", 0, guards{choiceUnproven: true}, []string{"LOST"}},
-		{"intent before call", 0, guards{callWithoutIntent: true}, []string{"INTENT"}},
-		{"no other target after an unknown outcome", 0, guards{repeatAtOnce: true}, []string{"REPEAT"}},
-		{"late calls waited out", 180, guards{lateCallsForgotten: true}, []string{"REPEAT"}},
+		{"freeze cleared before pause", 0, safetyOverrides{allowPauseBeforeClear: true}, []string{"FREEZE", "STALE", "ONE"}},
+		{"pause before positions", 570, safetyOverrides{allowUnpausedPositions: true}, []string{"LOST"}},
+		{"choice proven", 0, safetyOverrides{allowUnprovenChoice: true}, []string{"LOST"}},
+		{"intent before call", 0, safetyOverrides{allowCallBeforeIntent: true}, []string{"INTENT"}},
+		{"no other target after an unknown outcome", 0, safetyOverrides{allowImmediateRetarget: true}, []string{"REPEAT"}},
+		{"late calls waited out", 180, safetyOverrides{ignoreLateCalls: true}, []string{"REPEAT"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			found := ""
 			for seed := c.from; seed < c.from+3000 && found == ""; seed++ {
-				found = firstOf(playTroubles(seed, c.off, true).judge.faults, c.rules)
-				if found != "" && len(playTroubles(seed, guards{}, true).judge.faults) > 0 {
-					found = "" // it isn't for want of the guard
+				found = firstViolation(playRandomFaults(seed, c.overrides, true).checker.violations, c.rules)
+				if found != "" && len(playRandomFaults(seed, safetyOverrides{}, true).checker.violations) > 0 {
+					found = "" // the violation also occurs with the rule in force
 				}
 				if found != "" {
 					t.Logf("seed %d: %s", seed, found)
@@ -76,135 +77,136 @@
 	}
 }
 
-func firstOf(faults []string, rules []string) string {
-	for _, fault := range faults {
+func firstViolation(violations []string, rules []string) string {
+	for _, violation := range violations {
 		for _, rule := range rules {
-			if strings.Contains(fault, " "+rule+":") {
-				return fault
+			if strings.Contains(violation, " "+rule+":") {
+				return violation
 			}
 		}
 	}
 	return ""
 }
 
-// playTroubles plays one seed.
-func playTroubles(seed uint64, off guards, allAnswers bool) *world {
+// playRandomFaults plays one seed.
+func playRandomFaults(seed uint64, overrides safetyOverrides, allAnswers bool) *world {
 	chosen := options{
 		services: 1 + int(seed%5)/4, replicas: 2 + int(seed/5%4)/3, sync: 1, gateways: 2, lossPer1000: 10,
-		fenceChecked: seed%2 == 0, promoteReleases: seed/2%2 == 0, termFromHeld: seed/4%3 > 0, guards: off, allAnswers: allAnswers,
+		fenceChecked: seed%2 == 0, promoteReleases: seed/2%2 == 0, termFromHeld: seed/4%3 > 0, overrides: overrides, allAnswers: allAnswers,
 	}
 	w := newWorld(seed, chosen)
 	w.runUntil(2 * time.Second)
 	w.platform.promoteDelay = w.between(100*time.Millisecond, time.Second)
 	for w.now < searchLength {
-		w.trouble()
+		w.injectFault()
 		pause := w.between(0, 4*time.Second)
 		if w.chance(300) {
 			pause = w.between(0, 300*time.Millisecond)
 		}
 		w.runUntil(w.now + pause)
-		if len(w.judge.faults) > 0 {
+		if len(w.checker.violations) > 0 {
 			return w
 		}
 	}
-	w.runUntil(w.now + calmLength)
+	w.runUntil(w.now + settleLength)
 	return w
 }
 
-// trouble does one thing, and sets the moment at which it ends.
-func (w *world) trouble() {
+// injectFault injects one random fault, and schedules its end.
+func (w *world) injectFault() {
 	id := w.names[w.random.IntN(len(w.names))]
-	if w.chance(400) { // what strikes the leader counts most
+	if w.chance(400) { // faults of the leader matter most
 		id = w.platform.leading[w.services[w.random.IntN(len(w.services))]]
 	}
 	of := w.instances[id]
 	if of == nil {
 		return
 	}
-	lasts := w.between(200*time.Millisecond, 7*time.Second)
+	duration := w.between(200*time.Millisecond, 7*time.Second)
 	switch w.random.IntN(12) {
 	case 0, 1:
-		w.downFor(of, max(lasts, restartTakes))
+		w.crashFor(of, max(duration, restartTakes))
 	case 2:
-		if w.mayHide(id, lasts) {
+		if w.maySilence(id, duration) {
 			of.dark = true
-			w.after(lasts, func() { of.dark = false })
+			w.after(duration, func() { of.dark = false })
 		}
 	case 3:
-		if !w.mayHide(id, lasts) {
+		if !w.maySilence(id, duration) {
 			return
 		}
-		w.cutFor(id, "core", lasts)
+		w.cutFor(id, "core", duration)
 	case 4:
 		other := w.names[w.random.IntN(len(w.names))]
-		w.cutFor(id, other, lasts)
+		w.cutFor(id, other, duration)
 	case 5:
-		w.cutFor(id, fmt.Sprintf("g%d", 1+w.random.IntN(len(w.gateways))), lasts)
+		w.cutFor(id, fmt.Sprintf("g%d", 1+w.random.IntN(len(w.gateways))), duration)
 	case 6:
 		g := w.gateways[w.random.IntN(len(w.gateways))].name
-		w.cutFor(g, "core", lasts)
+		w.cutFor(g, "core", duration)
 	case 7:
 		of.lag = w.between(100*time.Millisecond, 800*time.Millisecond)
-		w.after(lasts, func() { of.lag = 5 * time.Millisecond })
+		w.after(duration, func() { of.lag = 5 * time.Millisecond })
 	case 8:
 		w.drainAndLeave(of)
 	case 9:
 		w.takeOver()
 	case 10:
-		troubles := []string{"lost", "late", "down", "refuse"}
-		w.platform.trouble = troubles[w.random.IntN(len(troubles))]
+		faultModes := []string{"lost", "late", "down", "refuse"}
+		w.platform.faultMode = faultModes[w.random.IntN(len(faultModes))]
 		w.platform.lateBy = w.between(500*time.Millisecond, 14*time.Second)
-		w.after(lasts, func() { w.platform.trouble = "" })
+		w.after(duration, func() { w.platform.faultMode = "" })
 	case 11:
-		w.island(of, lasts)
+		w.isolateWithReplicas(of, duration)
 	}
 }
 
-// island leaves an instance with its replicas and one gateway, which nobody else reaches.
-func (w *world) island(of *database, lasts time.Duration) {
-	if !w.mayHide(of.id, lasts) {
+// isolateWithReplicas lets an instance reach only its replicas and one gateway, which doesn't reach the controllers either.
+func (w *world) isolateWithReplicas(of *database, duration time.Duration) {
+	if !w.maySilence(of.id, duration) {
 		return
 	}
 	alone := w.random.IntN(len(w.gateways))
-	w.cutFor(of.id, "core", lasts)
-	w.cutFor(w.gateways[alone].name, "core", lasts)
+	w.cutFor(of.id, "core", duration)
+	w.cutFor(w.gateways[alone].name, "core", duration)
 	for n, g := range w.gateways {
 		if n != alone {
-			w.cutFor(of.id, g.name, lasts)
+			w.cutFor(of.id, g.name, duration)
 		}
 	}
 	for _, other := range w.of(of.service) {
 		other.lag = w.between(5*time.Millisecond, 800*time.Millisecond)
-		w.after(lasts, func() { other.lag = 5 * time.Millisecond })
+		w.after(duration, func() { other.lag = 5 * time.Millisecond })
 	}
 }
 
-// mayHide keeps silences of one instance towards the controllers apart: one that is heard by nobody there for as long as
-// Settings.ReplicaLost, and yet receives from the leader, is beyond what the manager promises.
-func (w *world) mayHide(id string, lasts time.Duration) bool {
-	if w.now < w.hidden[id] {
+// maySilence reports whether an instance may be made unreachable for the controllers, and keeps such silences of one instance apart: an
+// instance that no controller hears for Settings.ReplicaLostAfter, and that yet receives from the leader, breaks what the manager
+// relies on.
+func (w *world) maySilence(id string, duration time.Duration) bool {
+	if w.now < w.silentUntil[id] {
 		return false
 	}
-	w.hidden[id] = w.now + lasts + 3*time.Second
+	w.silentUntil[id] = w.now + duration + 3*time.Second
 	return true
 }
 
-func (w *world) downFor(of *database, lasts time.Duration) {
+func (w *world) crashFor(of *database, duration time.Duration) {
 	if !of.up {
 		return
 	}
-	w.hidden[of.id] = max(w.hidden[of.id], w.now+lasts+3*time.Second)
+	w.silentUntil[of.id] = max(w.silentUntil[of.id], w.now+duration+3*time.Second)
 	of.crash()
-	w.after(lasts, func() {
+	w.after(duration, func() {
 		if w.instances[of.id] == of && !of.up {
 			of.start()
 		}
 	})
 }
 
-func (w *world) cutFor(id, from string, lasts time.Duration) {
+func (w *world) cutFor(id, from string, duration time.Duration) {
 	w.cutOff(id, from, true)
-	w.after(lasts, func() { w.cutOff(id, from, false) })
+	w.after(duration, func() { w.cutOff(id, from, false) })
 }
 
 func (w *world) drainAndLeave(of *database) {
@@ -219,12 +221,12 @@
 	})
 }
 
-// unserved gives the services whose clients get nothing after the calm.
-func (w *world) unserved() []string {
+// unservedServices returns the services that have not recovered after the last fault.
+func (w *world) unservedServices() []string {
 	var found []string
 	for _, service := range w.services {
-		if w.now-w.judge.ackedAt[service] > time.Second {
-			found = append(found, fmt.Sprintf("%v SERVED: no write of %s since %v", w.now, service, w.judge.ackedAt[service]))
+		if w.now-w.checker.ackedAt[service] > time.Second {
+			found = append(found, fmt.Sprintf("%v SERVED: no write of %s since %v", w.now, service, w.checker.ackedAt[service]))
 		}
 		if w.committed[service].Intent != nil {
 			found = append(found, fmt.Sprintf("%v INTENT: that of %s is still open", w.now, service))
--- a/control/failover/service.go
+++ b/control/failover/service.go
@@ -11,26 +11,26 @@
 	"github.com/samber/lo"
 )
 
-// phase is how far the failover of a service has come.
+// phase is the step that the failover of a service has reached.
 type phase int
 
 const (
 	// watching: the service isn't frozen.
 	watching phase = iota
-	// clearing: frozen, until every gateway keeps the freeze.
-	clearing
-	// pausing: replicas are made to keep still, and one of them is chosen.
+	// awaitingClearance: frozen, until every gateway keeps the freeze.
+	awaitingClearance
+	// pausing: replicas are stopped from receiving, and one of them is chosen.
 	pausing
-	// recording: the intent is on its way to the disks.
-	recording
-	// calling: the intent is committed, and the call is due or under way.
+	// recordingIntent: the intent is being committed.
+	recordingIntent
+	// calling: the intent is committed, and the call is due or in progress.
 	calling
-	// awaiting: the call has ended, or was an earlier holder's; the instances' terms tell what became of it.
-	awaiting
-	// installing: there is evidence of a new leader, and the record of it is on its way to the disks.
-	installing
-	// withdrawing: the old leader goes on; the intent is being taken back.
-	withdrawing
+	// awaitingEffect: the call has ended, or was an earlier holder's; the instances' terms show what effect it had.
+	awaitingEffect
+	// recordingLeader: there is evidence of a new leader, and the record of it is being committed.
+	recordingLeader
+	// withdrawingIntent: the old leader goes on, and the intent is being removed.
+	withdrawingIntent
 )
 
 // reason is why a service is frozen.
@@ -38,7 +38,7 @@
 
 const (
 	leaderSilent reason = iota
-	leaderDrains
+	leaderDraining
 	newLeader
 	openIntent
 	neverLed
@@ -48,28 +48,28 @@
 	return [...]string{"leader silent", "leader draining", "another leader", "failover under way", "no leader"}[r]
 }
 
-// request is a change that was asked for and not decided yet. One at a time.
+// request is a requested change that is not decided yet. There is one at a time.
 type request struct {
-	number uint64
-	at     time.Duration
-	change Change
-	before feed.Leader // as recorded when it was asked for
+	number       uint64
+	at           time.Duration
+	change       Change
+	leaderBefore feed.Leader // the recorded leader when the change was requested
 }
 
-// calls is what is known of the calls for the intent's target.
-type calls struct {
-	number         uint64        // of the call that is out; 0: none
-	sent           int           // by this holder, and not known to have had no effect or to be over
-	unknownUntil   time.Duration // until then a call with an unknown outcome may act
-	ownUnknown     bool          // one of those calls is this holder's
-	accepted       bool          // the last call
-	acceptedUntil  time.Duration // until then an accepted call may take effect
-	next           time.Duration // no call before
-	endedAt        time.Duration // when the last call ended
-	watchFor       time.Duration // how long the target must be seen not to lead before it is called again; 0: not at all
-	notLeadingFrom time.Duration // since then it has answered as no primary
-	notLeading     bool
-	refused        bool // the platform said that the target isn't running, or that the fence is too low
+// callState is what is known of the calls for the intent's target.
+type callState struct {
+	number          uint64        // of the outstanding call; 0: none
+	sent            int           // calls by this holder that are not known to have had no effect or to be over
+	unknownUntil    time.Duration // until then a call with an unknown outcome may still act
+	hasOwnUnknown   bool          // one of those calls is this holder's
+	wasAccepted     bool          // the last call was accepted
+	acceptedUntil   time.Duration // until then an accepted call may take effect
+	notBefore       time.Duration // no call is made before
+	endedAt         time.Duration // when the last call ended
+	watchFor        time.Duration // how long the target must be seen not to lead before it is called again; 0: no wait
+	notLeadingSince time.Duration // since then it has answered without being primary
+	isNotLeading    bool
+	hasConflict     bool // the platform said that the target isn't running, or that the fence is too low
 }
 
 // service is the state of one service.
@@ -79,50 +79,51 @@
 	view    ServiceView
 	members []*member // sorted by id
 
-	phase     phase
-	frozen    bool
-	freeze    uint64
-	why       reason
-	frozenAt  time.Duration
-	cleared   bool
-	clearedAt time.Duration
-
-	idleUntil     time.Duration // nothing is due before
-	lookFrom      time.Duration // without a sign of trouble nobody is probed before
-	fastUntil     time.Duration
-	gatewayAnswer time.Duration // when a gateway last reported an answer of the leader
-	gatewayHeard  bool
-	failuresOnly  bool // gateways report only failures at the leader
-	failuresFrom  time.Duration
-	failuresSaid  bool
-
-	unledFrom    time.Duration // since then no leader is recorded
-	firstPrimary time.Duration
-	sawPrimary   bool
-
-	round       uint64 // term of the pause; 0: none
-	roundAt     time.Duration
-	highest     uint64 // highest term of a round
-	caughtUp    bool
-	stalled     bool     // said that no choice is proven
-	missing     []string // instances that stand against the choice; empty: none does, or there is nobody to choose
-	handOver    time.Duration
-	intent      *Intent // committed, as far as known
-	inherited   bool    // it was written by an earlier holder
-	call        calls
-	overdueSaid bool // said that the leader's drain is spent and the service isn't frozen
-	doubt       bool // an earlier call may have taken effect unseen: the recorded leader may be deposed
-	request     request
-	nextAsk     time.Duration // no change is asked for before
+	phase        phase
+	frozen       bool
+	freezeNumber uint64
+	freezeReason reason
+	frozenAt     time.Duration
+	cleared      bool
+	clearedAt    time.Duration
+
+	idleUntil          time.Duration // nothing is due before
+	firstProbeAt       time.Duration // nothing is probed before, unless there is a sign of trouble
+	fastProbesUntil    time.Duration
+	gatewayAnswerAt    time.Duration // when a gateway last reported an answer of the leader
+	hasGatewayAnswer   bool
+	hasFailuresOnly    bool // gateways report only failures at the leader
+	failuresOnlySince  time.Duration
+	failuresOnlyLogged bool
+
+	noLeaderSince  time.Duration // since then no leader is recorded
+	primarySeenAt  time.Duration
+	hasSeenPrimary bool
+
+	roundTerm        uint64 // term of the pause; 0: none
+	roundStartedAt   time.Duration
+	highestRoundTerm uint64 // highest term of a round
+	caughtUp         bool
+	stallLogged      bool     // logged that no choice is proven
+	blocking         []string // instances that stand against the choice; empty: none does, or there is no candidate
+	nextHandOverAt   time.Duration
+	intent           *Intent // committed, as far as known
+	intentInherited  bool    // it was written by an earlier holder
+	call             callState
+	overdueLogged    bool // logged that the leader's drain is over and the service isn't frozen
+	leadInDoubt      bool // an earlier call may have taken effect unseen: the recorded leader may be deposed
+	request          request
+	nextChangeAt     time.Duration // no change is requested before
 }
 
-// newService follows a service from now on. The first look, at what the last holder left behind, is its turn among those that are new.
+// newService starts to follow a service. Its first probes, which find what the last holder left behind, wait for its turn among the
+// services that are new at once.
 func newService(manager *Manager, now time.Duration, view ServiceView, turn int) *service {
-	s := &service{manager: manager, name: view.Name, unledFrom: now}
-	s.lookFrom = now + time.Duration(turn)*firstLookPace
-	s.fastUntil = s.lookFrom + learnSettle
+	s := &service{manager: manager, name: view.Name, noLeaderSince: now}
+	s.firstProbeAt = now + time.Duration(turn)*firstProbeSpacing
+	s.fastProbesUntil = s.firstProbeAt + discoveryWait
 	if view.Intent != nil {
-		s.inherited, s.doubt = true, true
+		s.intentInherited, s.leadInDoubt = true, true
 		s.call.unknownUntil = now + manager.settings.MaxCallDelay
 		s.call.watchFor, s.call.endedAt = inheritedWait, now
 	}
@@ -131,209 +132,211 @@
 
 func (s *service) settings() Settings { return s.manager.settings }
 
-func (s *service) event(what string, format string, values ...any) {
-	s.manager.event(what, s.name+": "+fmt.Sprintf(format, values...))
+func (s *service) addEvent(what string, format string, values ...any) {
+	s.manager.addEvent(what, s.name+": "+fmt.Sprintf(format, values...))
 }
 
-// take replaces the committed view of the service.
-func (s *service) take(now time.Duration, view ServiceView) {
+// updateView replaces the committed view of the service.
+func (s *service) updateView(now time.Duration, view ServiceView) {
 	if view.Leader.InstanceID == "" && s.view.Leader.InstanceID != "" {
-		s.unledFrom = now
+		s.noLeaderSince = now
 	}
 	if len(s.members) == 0 {
-		s.members = departedBefore(now, view)
+		s.members = membersDepartedBefore(now, view)
 	}
 	givenUp := view.GiveUpCount > s.view.GiveUpCount && s.view.Name != ""
 	s.view = view
 	s.intent = view.Intent
 	for _, instance := range view.Instances {
-		if known := s.member(instance.ID); known != nil {
-			known.note(now, instance)
-			if known.departed {
-				known.departed, known.cover, known.lastLife = false, nil, now
+		if m := s.findMember(instance.ID); m != nil {
+			m.update(now, instance)
+			if m.departed {
+				m.departed, m.cover, m.lastAliveAt = false, nil, now
 			}
 			continue
 		}
-		added := &member{lastLife: now, drainBefore: instance.Draining}
-		added.note(now, instance)
+		added := &member{lastAliveAt: now, drainStartUnknown: instance.Draining}
+		added.update(now, instance)
 		s.members = append(s.members, added)
-		s.fastUntil = max(s.fastUntil, now+learnSettle)
+		s.fastProbesUntil = max(s.fastProbesUntil, now+discoveryWait)
 	}
-	for _, known := range s.members {
-		present := slices.ContainsFunc(view.Instances, func(i feed.Instance) bool { return i.ID == known.instance.ID })
-		if !present && !known.departed {
-			known.departed, known.departedAt = true, now
-			known.held = false
-			s.fastUntil = max(s.fastUntil, now+departureLook)
+	for _, m := range s.members {
+		present := slices.ContainsFunc(view.Instances, func(instance feed.Instance) bool { return instance.ID == m.instance.ID })
+		if !present && !m.departed {
+			m.departed, m.departedAt = true, now
+			m.isPaused = false
+			s.fastProbesUntil = max(s.fastProbesUntil, now+departureProbeWindow)
 		}
 	}
 	if givenUp {
-		s.giveUpDeparted()
+		s.giveUpDepartedCopies()
 	}
 	slices.SortFunc(s.members, func(a, b *member) int { return cmp.Compare(a.instance.ID, b.instance.ID) })
-	s.forgetDeparted()
+	s.pruneDeparted()
 }
 
-// giveUpDeparted forgets what departed instances may have held, and the failover that waited for them.
-func (s *service) giveUpDeparted() {
-	s.members = lo.Reject(s.members, func(i *member, _ int) bool { return i.departed })
-	s.call, s.inherited, s.doubt = calls{}, false, false
-	s.missing = nil
-	s.event("given up", "what lost copies held")
+// giveUpDepartedCopies forgets what departed instances may have held, and the calls of the failover that waited for them.
+func (s *service) giveUpDepartedCopies() {
+	s.members = lo.Reject(s.members, func(m *member, _ int) bool { return m.departed })
+	s.call, s.intentInherited, s.leadInDoubt = callState{}, false, false
+	s.blocking = nil
+	s.addEvent("given up", "the commits that lost copies may have held")
 }
 
-// departedBefore are the instances that departed under an earlier holder, and that nothing is known to cover.
-func departedBefore(now time.Duration, view ServiceView) []*member {
+// membersDepartedBefore returns the instances that departed under an earlier holder and that no known position covers.
+func membersDepartedBefore(now time.Duration, view ServiceView) []*member {
 	return lo.Map(view.Departed, func(instance feed.Instance, _ int) *member {
-		return &member{instance: instance, departed: true, departedAt: now, lastLife: now}
+		return &member{instance: instance, departed: true, departedAt: now, lastAliveAt: now}
 	})
 }
 
-// forgetDeparted bounds the memory of instances that have gone: the oldest of those whose log is covered go first. A
-// departed one that was draining handed its log to the instance that has its address now.
-func (s *service) forgetDeparted() {
+// pruneDeparted bounds the number of departed instances that are remembered: the one that departed first goes first. An instance that
+// was draining when it departed handed its log to the instance that has its address now, and needs no entry.
+func (s *service) pruneDeparted() {
 	s.members = lo.Filter(s.members, func(gone *member, _ int) bool {
 		return !gone.departed || !gone.instance.Draining || !s.hasSuccessor(gone)
 	})
-	gone := lo.Filter(s.members, func(i *member, _ int) bool { return i.departed })
-	if len(gone) <= mostDeparted {
+	gone := lo.Filter(s.members, func(m *member, _ int) bool { return m.departed })
+	if len(gone) <= maxDeparted {
 		return
 	}
 	slices.SortStableFunc(gone, func(a, b *member) int { return cmp.Compare(a.departedAt, b.departedAt) })
 	oldest := gone[0]
-	s.members = lo.Filter(s.members, func(i *member, _ int) bool { return i != oldest })
+	s.members = lo.Filter(s.members, func(m *member, _ int) bool { return m != oldest })
 }
 
 func (s *service) hasSuccessor(gone *member) bool {
-	return slices.ContainsFunc(s.members, func(i *member) bool {
-		return !i.departed && i.instance.Address == gone.instance.Address
+	return slices.ContainsFunc(s.members, func(m *member) bool {
+		return !m.departed && m.instance.Address == gone.instance.Address
 	})
 }
 
-func (s *service) member(id string) *member {
-	for _, known := range s.members {
-		if known.instance.ID == id {
-			return known
+func (s *service) findMember(id string) *member {
+	for _, m := range s.members {
+		if m.instance.ID == id {
+			return m
 		}
 	}
 	return nil
 }
 
-// present gives the instances that have not left.
-func (s *service) present() []*member {
-	return lo.Filter(s.members, func(i *member, _ int) bool { return !i.departed })
+// presentMembers returns the instances that have not departed.
+func (s *service) presentMembers() []*member {
+	return lo.Filter(s.members, func(m *member, _ int) bool { return !m.departed })
 }
 
-// leader gives the recorded leader, if it is there.
+// leader returns the recorded leader, if it is present.
 func (s *service) leader() *member {
-	known := s.member(s.view.Leader.InstanceID)
-	if known == nil || known.departed {
+	m := s.findMember(s.view.Leader.InstanceID)
+	if m == nil || m.departed {
 		return nil
 	}
-	return known
+	return m
 }
 
-// isLeading tells whether an instance has shown, to a question asked since, that it leads as recorded.
-func (s *service) isLeading(i *member, since time.Duration) bool {
-	return i != nil && i.leads(since) && i.status.Term == s.view.Leader.Term && i.instance.ID == s.view.Leader.InstanceID
+// isLeading reports whether an instance has shown, to a question asked since, that it leads as recorded.
+func (s *service) isLeading(m *member, since time.Duration) bool {
+	return m != nil && m.leadsSince(since) && m.status.Term == s.view.Leader.Term && m.instance.ID == s.view.Leader.InstanceID
 }
 
-// highestTerm is the highest term met by any instance, record or round of this service.
-func (s *service) highestTerm() uint64 {
-	highest := max(s.view.Leader.Term, s.highest)
+// highestKnownTerm returns the highest term in any instance, record or round of this service.
+func (s *service) highestKnownTerm() uint64 {
+	highest := max(s.view.Leader.Term, s.highestRoundTerm)
 	if s.intent != nil {
 		highest = max(highest, s.intent.Term, s.intent.Previous.Term)
 	}
-	for _, known := range s.members {
-		highest = max(highest, known.newest())
+	for _, m := range s.members {
+		highest = max(highest, m.highestTerm())
 	}
 	return highest
 }
 
-// latestTerm is the highest term in which an instance is known to have led.
-func (s *service) latestTerm() uint64 {
+// highestLedTerm returns the highest term in which an instance is known to have led.
+func (s *service) highestLedTerm() uint64 {
 	latest := s.view.Leader.Term
-	for _, known := range s.members {
-		if known.known {
-			latest = max(latest, known.status.Term, known.status.Received.Term)
+	for _, m := range s.members {
+		if m.hasStatus {
+			latest = max(latest, m.status.Term, m.status.Received.Term)
 		}
 	}
 	return latest
 }
 
-// deposed tells whether an instance says that it leads, in a term that has been followed by another.
-func (s *service) deposed(i *member) bool { return i.leads(0) && i.status.Term < s.latestTerm() }
+// isDeposed reports whether an instance claims to lead in a term that another has followed.
+func (s *service) isDeposed(m *member) bool {
+	return m.leadsSince(0) && m.status.Term < s.highestLedTerm()
+}
 
-// newPrimary gives the instance that leads a later term than the recorded one, the highest if there are several.
-func (s *service) newPrimary(since time.Duration) *member {
+// findNewPrimary returns the instance that leads a later term than the recorded one, the highest if there are several.
+func (s *service) findNewPrimary(since time.Duration) *member {
 	var found *member
-	for _, known := range s.present() {
-		if !known.leads(since) || known.status.Term < s.view.Leader.Term {
+	for _, m := range s.presentMembers() {
+		if !m.leadsSince(since) || m.status.Term < s.view.Leader.Term {
 			continue
 		}
-		if known.status.Term == s.view.Leader.Term && s.view.Leader.InstanceID != "" {
+		if m.status.Term == s.view.Leader.Term && s.view.Leader.InstanceID != "" {
 			continue
 		}
-		if found == nil || found.status.Term < known.status.Term {
-			found = known
+		if found == nil || found.status.Term < m.status.Term {
+			found = m
 		}
 	}
 	return found
 }
 
-// advance does whatever is due.
+// advance runs the step that is due in the current phase.
 func (s *service) advance(now time.Duration) {
 	s.idleUntil = 0
 	switch s.phase {
 	case watching:
 		s.watch(now)
-	case clearing:
-		s.clear(now)
+	case awaitingClearance:
+		s.awaitClearance(now)
 	case pausing:
-		s.pause(now)
-	case recording:
-		s.record(now)
+		s.pauseReplicas(now)
+	case recordingIntent:
+		s.awaitIntent(now)
 	case calling:
 		s.makeCall(now)
-	case awaiting:
-		s.await(now)
-	case installing:
-		s.install(now)
-	case withdrawing:
-		s.withdraw(now)
+	case awaitingEffect:
+		s.awaitEffect(now)
+	case recordingLeader:
+		s.recordLeader(now)
+	case withdrawingIntent:
+		s.withdrawIntent(now)
 	}
 }
 
-func (s *service) heard(now time.Duration, beat Heartbeat) {
-	known := s.member(beat.InstanceID)
-	if known == nil || known.departed {
+func (s *service) handleHeartbeat(now time.Duration, beat Heartbeat) {
+	m := s.findMember(beat.InstanceID)
+	if m == nil || m.departed {
 		return
 	}
-	known.lastLife, known.refusals = now, 0
-	known.cover, known.coverDead = nil, false
-	turned := known.lastBeat != 0 && beat.Primary != known.beatPrimary
-	known.beat(now)
-	known.beatPrimary = beat.Primary
+	m.lastAliveAt, m.refusals = now, 0
+	m.cover, m.coverIsTentative = nil, false
+	turned := m.lastBeatAt != 0 && beat.Primary != m.beatSaysPrimary
+	m.noteBeat(now)
+	m.beatSaysPrimary = beat.Primary
 	leads := beat.InstanceID == s.view.Leader.InstanceID
 	if turned || beat.Primary != leads {
-		s.fastUntil = max(s.fastUntil, now+s.settings().FastWindow)
+		s.fastProbesUntil = max(s.fastProbesUntil, now+s.settings().FastWindow)
 	}
-	if beat.Primary != leads || known.failures > 0 {
-		s.probeNow(now, known)
+	if beat.Primary != leads || m.failures > 0 {
+		s.probeNow(now, m)
 	}
 }
 
-// freezeFor freezes the service. Nothing that can change the lead is done before the freeze is cleared.
-func (s *service) freezeFor(now time.Duration, why reason) {
-	s.manager.freezes++
-	s.freeze = s.manager.freezes
-	s.frozen, s.frozenAt, s.why = true, now, why
+// freezeBecause freezes the service. Nothing that can change the lead is done before the freeze is cleared.
+func (s *service) freezeBecause(now time.Duration, why reason) {
+	s.manager.lastFreeze++
+	s.freezeNumber = s.manager.lastFreeze
+	s.frozen, s.frozenAt, s.freezeReason = true, now, why
 	s.manager.freezeChanges++
-	s.cleared, s.caughtUp, s.stalled = false, false, false
-	s.phase = clearing
+	s.cleared, s.caughtUp, s.stallLogged = false, false, false
+	s.phase = awaitingClearance
 	s.endRound()
-	s.event("frozen", "%v, leader %s term %d", why, s.view.Leader.InstanceID, s.view.Leader.Term)
-	s.clear(now)
+	s.addEvent("frozen", "%v, leader %s term %d", why, s.view.Leader.InstanceID, s.view.Leader.Term)
+	s.awaitClearance(now)
 }
 
 // unfreeze lets the recorded leader go on.
@@ -342,24 +345,24 @@
 	s.manager.freezeChanges++
 	s.phase = watching
 	s.endRound()
-	s.fastUntil = now + s.settings().FastWindow
-	s.event("unfrozen", "leader %s term %d after %v", s.view.Leader.InstanceID, s.view.Leader.Term, now-s.frozenAt)
-	s.releasePaused(now)
+	s.fastProbesUntil = now + s.settings().FastWindow
+	s.addEvent("unfrozen", "leader %s term %d after %v", s.view.Leader.InstanceID, s.view.Leader.Term, now-s.frozenAt)
+	s.resumePaused(now)
 }
 
 func (s *service) endRound() {
-	s.round = 0
-	for _, known := range s.members {
-		known.forgetRound()
+	s.roundTerm = 0
+	for _, m := range s.members {
+		m.resetRound()
 	}
 }
 
-// callMayAct tells whether a call for the intent's target may still take effect.
+// callMayAct reports whether a call for the intent's target may still take effect.
 func (s *service) callMayAct(now time.Duration) bool {
 	return s.call.number != 0 || now < s.call.unknownUntil || now < s.call.acceptedUntil
 }
 
-// othersCallsVoid tells whether only an earlier holder's calls may be on their way, which the fence of the next call voids.
-func (s *service) othersCallsVoid() bool {
-	return s.settings().FenceChecked && s.inherited && !s.call.ownUnknown && s.call.number == 0
+// fenceVoidsOpenCalls reports whether all calls that may still act are an earlier holder's, which the fence of the next call voids.
+func (s *service) fenceVoidsOpenCalls() bool {
+	return s.settings().FenceChecked && s.intentInherited && !s.call.hasOwnUnknown && s.call.number == 0
 }
--- a/control/failover/watch.go
+++ b/control/failover/watch.go
@@ -8,29 +8,29 @@
 	"eiderway/control/guard"
 )
 
-// watch looks after a service that isn't frozen.
+// watch supervises a service that isn't frozen.
 func (s *service) watch(now time.Duration) {
-	if s.intentUnsettled() {
-		s.freezeFor(now, openIntent)
+	if s.isIntentUnsettled() {
+		s.freezeBecause(now, openIntent)
 		return
 	}
 	if s.view.Leader.InstanceID == "" {
-		s.learn(now)
+		s.discoverLeader(now)
 		return
 	}
 	s.settleIntent(now)
-	s.settleDeparted(now)
-	s.aftercare(now)
-	s.look(now)
-	if why, sign := s.mustFreeze(now); sign {
-		s.freezeFor(now, why)
+	s.recordCover(now)
+	s.cleanUpFailover(now)
+	s.probeWatched(now)
+	if why, sign := s.reasonToFreeze(now); sign {
+		s.freezeBecause(now, why)
 		return
 	}
-	s.noteHigherTerm(now)
+	s.recordHigherTerm(now)
 }
 
-// intentUnsettled tells whether there is an intent whose target isn't the recorded leader of a later term.
-func (s *service) intentUnsettled() bool {
+// isIntentUnsettled reports whether there is an intent whose target isn't the recorded leader of a later term.
+func (s *service) isIntentUnsettled() bool {
 	if s.intent == nil {
 		return false
 	}
@@ -38,69 +38,70 @@
 	return leader.InstanceID != s.intent.InstanceID || leader.Term <= s.intent.Previous.Term
 }
 
-// settleIntent takes the intent back once its target leads and no call for it may still act.
+// settleIntent removes the intent once its target leads and no call for it may still act.
 func (s *service) settleIntent(now time.Duration) {
-	s.doubt = false
+	s.leadInDoubt = false
 	if s.intent != nil && !s.callMayAct(now) {
-		s.ask(now, Change{ClearIntent: s.name})
+		s.requestChange(now, Change{ClearIntent: s.name})
 	}
 }
 
-// settleDeparted records the position that covers an instance that has departed, one at a time.
-func (s *service) settleDeparted(now time.Duration) {
+// recordCover records the position that covers a departed instance, for one instance at a time.
+func (s *service) recordCover(now time.Duration) {
 	for _, gone := range s.members {
-		if gone.departed && gone.cover != nil && !gone.coverDead {
-			s.ask(now, Change{Covered: &CoveredDeparture{Service: s.name, InstanceID: gone.instance.ID, Position: *gone.cover}})
+		if gone.departed && gone.cover != nil && !gone.coverIsTentative {
+			s.requestChange(now, Change{Covered: &CoveredDeparture{Service: s.name, InstanceID: gone.instance.ID, Position: *gone.cover}})
 			return
 		}
 	}
 }
 
-// look probes: at calm the leader alone, while there are signs of change everyone, and fast only once the leader fails.
-func (s *service) look(now time.Duration) {
+// probeWatched probes the leader alone while nothing happens, all members while there are signs of change, and at the fast interval
+// only once the leader fails.
+func (s *service) probeWatched(now time.Duration) {
 	leader := s.leader()
-	if now < s.lookFrom && !s.troubled(now) {
+	if now < s.firstProbeAt && !s.hasTrouble(now) {
 		return
 	}
-	signs := now < s.fastUntil
-	if signs && (leader == nil || leader.failures > 0 || leader.instance.Draining || !leader.leads(0)) {
+	signs := now < s.fastProbesUntil
+	if signs && (leader == nil || leader.failures > 0 || leader.instance.Draining || !leader.leadsSince(0)) {
 		s.probeAll(now, leader)
 		return
 	}
-	for _, known := range s.present() {
+	for _, m := range s.presentMembers() {
 		switch {
-		case known == leader && (signs || known.beatMissed(now)):
-			s.probe(now, known, AskStatus, 0, replicaProbe)
-		case signs && known.failures > 0:
-			s.probe(now, known, AskStatus, 0, replicaProbe)
+		case m == leader && (signs || m.isBeatOverdue(now)):
+			s.probe(now, m, AskStatus, 0, replicaProbeInterval)
+		case signs && m.failures > 0:
+			s.probe(now, m, AskStatus, 0, replicaProbeInterval)
 		case signs:
-			s.probe(now, known, AskStatus, 0, signProbe)
-		case known == leader || now-known.lastLife >= replicaSilent:
-			s.probe(now, known, AskStatus, 0, s.settings().LeaderProbe)
+			s.probe(now, m, AskStatus, 0, changeProbeInterval)
+		case m == leader || now-m.lastAliveAt >= replicaSilentAfter:
+			s.probe(now, m, AskStatus, 0, s.settings().LeaderProbeInterval)
 		}
 	}
 	if !signs {
-		s.idleUntil = now + idleStep
+		s.idleUntil = now + idleInterval
 	}
 }
 
-// troubled tells whether the service can't wait for the turn of its first look.
-func (s *service) troubled(now time.Duration) bool {
-	return s.leader() == nil || lo.ContainsBy(s.present(), func(i *member) bool {
-		return i.failures > 0 || i.instance.Draining || i.beatMissed(now)
+// hasTrouble reports whether the service can't wait for its turn to be probed first.
+func (s *service) hasTrouble(now time.Duration) bool {
+	return s.leader() == nil || lo.ContainsBy(s.presentMembers(), func(m *member) bool {
+		return m.failures > 0 || m.instance.Draining || m.isBeatOverdue(now)
 	})
 }
 
-// mustFreeze tells whether the recorded leader can't go on, and why.
-func (s *service) mustFreeze(now time.Duration) (reason, bool) {
-	if s.ledElsewhere() {
+// reasonToFreeze reports whether the recorded leader can't go on, and why.
+func (s *service) reasonToFreeze(now time.Duration) (reason, bool) {
+	if s.isLedElsewhere() {
 		return newLeader, true
 	}
 	leader := s.leader()
-	others := lo.Filter(s.present(), func(i *member, _ int) bool { return i.instance.ID != s.view.Leader.InstanceID })
+	others := lo.Filter(s.presentMembers(), func(m *member, _ int) bool { return m.instance.ID != s.view.Leader.InstanceID })
 	kept := s.settings().DisabledGuards.Lacks(guard.LoneLeaderFrozen) && len(others) == 0
-	if leader != nil && leader.drainSpent(now, s.settings()) && !kept {
-		return leaderDrains, true // whether anybody can follow or not: its drain was acknowledged
+	if leader != nil && leader.isDrainOver(now, s.settings()) && !kept {
+		return leaderDraining, true // even if no instance can take over: the leader's drain was acknowledged
 	}
 	if len(others) == 0 {
 		return 0, false
@@ -108,126 +109,127 @@
 	switch {
 	case leader == nil:
 		return leaderSilent, true
-	case leader.answered(now-statusFresh) && leader.failures == 0 && !leader.status.Primary:
+	case leader.answeredSince(now-statusMaxAge) && leader.failures == 0 && !leader.status.Primary:
 		return leaderSilent, true
-	case s.silent(now, leader):
+	case s.isSilent(now, leader):
 		return leaderSilent, true
-	case leader.instance.Draining && now >= s.handOver && s.mayHandOver(now, leader, others):
-		return leaderDrains, true
+	case leader.instance.Draining && now >= s.nextHandOverAt && s.mayHandOver(now, leader, others):
+		return leaderDraining, true
 	}
 	return 0, false
 }
 
-// ledElsewhere tells whether an instance leads, or follows, a later term than any that the recorded leader is known to lead.
-func (s *service) ledElsewhere() bool {
+// isLedElsewhere reports whether an instance leads, or follows, a later term than any that the recorded leader is known to lead.
+func (s *service) isLedElsewhere() bool {
 	latest := s.view.Leader.Term
-	if leader := s.leader(); leader != nil && leader.leads(0) {
+	if leader := s.leader(); leader != nil && leader.leadsSince(0) {
 		latest = max(latest, leader.status.Term)
 	}
-	return s.latestTerm() > latest
+	return s.highestLedTerm() > latest
 }
 
-// silent tells whether the leader has failed to answer for so long that it is taken for gone, while no gateway gets answers
-// from it either.
-func (s *service) silent(now time.Duration, leader *member) bool {
-	if s.notRunning(now, leader) {
+// isSilent reports whether the leader has failed to answer for so long that it is considered gone, while no gateway gets answers from
+// it either.
+func (s *service) isSilent(now time.Duration, leader *member) bool {
+	if s.isNotRunning(now, leader) {
 		return true
 	}
 	if leader.failures == 0 || now-leader.failingSince < s.settings().SuspectAfter {
 		return false
 	}
-	if s.gatewayHeard && now-s.gatewayAnswer < gatewayAnswerFresh {
+	if s.hasGatewayAnswer && now-s.gatewayAnswerAt < gatewayAnswerMaxAge {
 		return false
 	}
 	askedAgain := leader.outstanding[AskStatus] != 0 && now-leader.askedAt[AskStatus] >= secondProbeWait
 	return leader.failures >= 2 || askedAgain
 }
 
-// notRunning tells whether the leader's process has ended: its machine refuses connections, twice in a row and for a while, and no gateway has just
-// told of answers alone. Refusals say it sooner than silence can, since a machine that is slow, cut off or without power refuses nothing.
-func (s *service) notRunning(now time.Duration, leader *member) bool {
-	if leader.refusals < 2 || now-leader.refusedSince < refusedLeader {
+// isNotRunning reports whether the leader's process has ended: its machine refuses connections, twice in a row and for a while, and no
+// gateway has just reported answers alone. Refusals prove it sooner than silence can, since a machine that is slow, cut off or without
+// power refuses nothing.
+func (s *service) isNotRunning(now time.Duration, leader *member) bool {
+	if leader.refusals < 2 || now-leader.refusedSince < leaderRefusedAfter {
 		return false
 	}
-	return !s.gatewayHeard || now-s.gatewayAnswer >= refusedAnswers
+	return !s.hasGatewayAnswer || now-s.gatewayAnswerAt >= refusedAnswerMaxAge
 }
 
-// mayHandOver tells whether a draining leader answers and somebody who stays can follow it.
+// mayHandOver reports whether a draining leader answers and an instance that isn't draining can follow it.
 func (s *service) mayHandOver(now time.Duration, leader *member, others []*member) bool {
-	stays := lo.Filter(others, func(i *member, _ int) bool { return !i.instance.Draining && i.failures == 0 })
+	stays := lo.Filter(others, func(m *member, _ int) bool { return !m.instance.Draining && m.failures == 0 })
 	if len(stays) == 0 {
 		return false
 	}
-	s.fastUntil = max(s.fastUntil, now+s.settings().FastProbe)
+	s.fastProbesUntil = max(s.fastProbesUntil, now+s.settings().FastProbeInterval)
 	patient := now-leader.drainSince < handOverPatience
-	follows := lo.ContainsBy(stays, func(i *member) bool {
-		near := time.Duration(i.status.LagMs)*time.Millisecond <= handOverLag
-		return i.answered(now-statusFresh) && !i.status.Primary && (near || !patient)
+	follows := lo.ContainsBy(stays, func(m *member) bool {
+		near := time.Duration(m.status.LagMs)*time.Millisecond <= handOverMaxLag
+		return m.answeredSince(now-statusMaxAge) && !m.status.Primary && (near || !patient)
 	})
-	return follows && s.isLeading(leader, now-statusFresh)
+	return follows && s.isLeading(leader, now-statusMaxAge)
 }
 
-// noteHigherTerm records that the leader itself leads a later term now.
-func (s *service) noteHigherTerm(now time.Duration) {
-	if leader := s.leader(); leader != nil && leader.leads(now-statusFresh) && leader.status.Term > s.view.Leader.Term {
-		s.askLeader(now, leader)
+// recordHigherTerm records the term of the recorded leader if it leads a later one now.
+func (s *service) recordHigherTerm(now time.Duration) {
+	if leader := s.leader(); leader != nil && leader.leadsSince(now-statusMaxAge) && leader.status.Term > s.view.Leader.Term {
+		s.requestLeader(now, leader)
 	}
 }
 
-// reported takes what a gateway met at an instance.
-func (s *service) reported(now time.Duration, in GatewayReport) {
+// handleGatewayReport evaluates what a gateway saw at an instance.
+func (s *service) handleGatewayReport(now time.Duration, in GatewayReport) {
 	if in.Report.InstanceID != s.view.Leader.InstanceID {
 		return
 	}
 	if in.Report.Answers > 0 && in.Report.Failures == 0 {
-		s.gatewayHeard, s.gatewayAnswer = true, now
+		s.hasGatewayAnswer, s.gatewayAnswerAt = true, now
 	}
 	if in.Report.Answers > 0 {
-		s.failuresOnly, s.failuresSaid = false, false
+		s.hasFailuresOnly, s.failuresOnlyLogged = false, false
 	}
 	if in.Report.Failures == 0 && in.Report.ReadOnly == 0 {
 		return
 	}
-	s.fastUntil = max(s.fastUntil, now+s.settings().FastWindow)
+	s.fastProbesUntil = max(s.fastProbesUntil, now+s.settings().FastWindow)
 	if leader := s.leader(); leader != nil {
 		s.probeNow(now, leader)
 	}
-	if in.Report.Answers == 0 && !s.failuresOnly {
-		s.failuresOnly, s.failuresFrom = true, now
+	if in.Report.Answers == 0 && !s.hasFailuresOnly {
+		s.hasFailuresOnly, s.failuresOnlySince = true, now
 	}
-	s.noteFailuresOnly(now)
+	s.logFailuresOnly(now)
 }
 
-// noteFailuresOnly says once that gateways fail at a leader that answers here. That alone moves no lead.
-func (s *service) noteFailuresOnly(now time.Duration) {
-	if s.failuresOnly && !s.failuresSaid && now-s.failuresFrom >= failuresOnlyAfter && s.isLeading(s.leader(), now-statusFresh) {
-		s.failuresSaid = true
-		s.event("unreachable leader", "gateways report only failures at %s, which answers here", s.view.Leader.InstanceID)
+// logFailuresOnly logs once that gateways fail at a leader that answers here. That alone doesn't move the lead.
+func (s *service) logFailuresOnly(now time.Duration) {
+	if s.hasFailuresOnly && !s.failuresOnlyLogged && now-s.failuresOnlySince >= failuresOnlyAfter && s.isLeading(s.leader(), now-statusMaxAge) {
+		s.failuresOnlyLogged = true
+		s.addEvent("unreachable leader", "gateways report only failures at %s, which answers here", s.view.Leader.InstanceID)
 	}
 }
 
-// learn finds out who leads a service of which no leader is recorded. Gateways send nothing there meanwhile.
-func (s *service) learn(now time.Duration) {
-	s.probeAll(now, s.present()...)
-	found := s.newPrimary(now - learnSettle - statusFresh)
+// discoverLeader finds the primary of a service without a recorded leader. Gateways send no statements there meanwhile.
+func (s *service) discoverLeader(now time.Duration) {
+	s.probeAll(now, s.presentMembers()...)
+	found := s.findNewPrimary(now - discoveryWait - statusMaxAge)
 	if found == nil {
-		s.sawPrimary = false
-		s.giveLeader(now)
+		s.hasSeenPrimary = false
+		s.failOverIfNeverLed(now)
 		return
 	}
-	if !s.sawPrimary {
-		s.sawPrimary, s.firstPrimary = true, now
+	if !s.hasSeenPrimary {
+		s.hasSeenPrimary, s.primarySeenAt = true, now
 	}
-	allAnswered := lo.EveryBy(s.present(), func(i *member) bool { return i.known })
-	if allAnswered || now-s.firstPrimary >= learnSettle {
-		s.askLeader(now, found)
+	allAnswered := lo.EveryBy(s.presentMembers(), func(m *member) bool { return m.hasStatus })
+	if allAnswered || now-s.primarySeenAt >= discoveryWait {
+		s.requestLeader(now, found)
 	}
 }
 
-// giveLeader starts a failover of a service in which nobody leads, though all its instances answer.
-func (s *service) giveLeader(now time.Duration) {
-	allAnswer := lo.EveryBy(s.members, func(i *member) bool { return !i.departed && i.failures == 0 && i.answered(now-2*statusFresh) })
-	if now-s.unledFrom >= learnLimit && len(s.members) > 1 && allAnswer {
-		s.freezeFor(now, neverLed)
+// failOverIfNeverLed starts a failover of a service in which no instance leads though all its instances answer.
+func (s *service) failOverIfNeverLed(now time.Duration) {
+	allAnswer := lo.EveryBy(s.members, func(m *member) bool { return !m.departed && m.failures == 0 && m.answeredSince(now-2*statusMaxAge) })
+	if now-s.noLeaderSince >= neverLedLimit && len(s.members) > 1 && allAnswer {
+		s.freezeBecause(now, neverLed)
 	}
 }
--- a/control/failover/world_test.go
+++ b/control/failover/world_test.go
@@ -11,26 +11,26 @@
 )
 
 // world is a small simulated deployment: instances with logs, a platform, gateways that write and read, and controllers.
-// Everything happens on one queue of events in simulated time; one seed gives one history.
+// All events are in one queue in simulated time; the same seed gives the same history.
 type world struct {
 	now     time.Duration
 	agenda  virtualtime.Agenda
 	random  *rand.Rand
 	options options
 
-	instances map[string]*database
-	names     []string
-	cuts      map[[2]string]bool
-	platform  *platform
-	gateways  []*gateway
-	current   *host
-	committed map[string]*ServiceView
-	services  []string
-	epoch     uint64
-	writes    int
-	judge     *judge
-	hidden    map[string]time.Duration // until when an instance may be unheard by the controllers
-	events    []string
+	instances   map[string]*database
+	names       []string
+	cuts        map[[2]string]bool
+	platform    *platform
+	gateways    []*gateway
+	current     *host
+	committed   map[string]*ServiceView
+	services    []string
+	epoch       uint64
+	writes      int
+	checker     *checker
+	silentUntil map[string]time.Duration // until when an instance may be unreachable for the controllers
+	events      []string
 }
 
 type options struct {
@@ -38,24 +38,24 @@
 	replicas        int
 	sync            int
 	fenceChecked    bool
-	promoteReleases bool // a promote ends the pauses of all replicas, not only of the promoted
+	promoteReleases bool // a promote ends the pauses of all replicas, not only of the promoted one
 	termFromHeld    bool // a promote's term is above every term held, not only above every term led
-	seemsPrimary    bool // the platform takes whom it promoted last for the present primary, also after a STEPDOWN
+	seemsPrimary    bool // the platform considers the instance that it promoted last the primary, even after a STEPDOWN
 	gateways        int
 	lossPer1000     int  // probes whose answer is lost
-	allAnswers      bool // answers that the gateway no longer waits for count as acknowledged as well
-	guards          guards
+	allAnswers      bool // answers that the gateway no longer waits for also count as acknowledged
+	overrides       safetyOverrides
 }
 
 func newWorld(seed uint64, chosen options) *world {
 	w := &world{
-		random:    rand.New(rand.NewPCG(seed, 1)),
-		options:   chosen,
-		instances: map[string]*database{},
-		cuts:      map[[2]string]bool{},
-		committed: map[string]*ServiceView{},
-		judge:     newJudge(),
-		hidden:    map[string]time.Duration{},
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		options:     chosen,
+		instances:   map[string]*database{},
+		cuts:        map[[2]string]bool{},
+		committed:   map[string]*ServiceView{},
+		checker:     newChecker(),
+		silentUntil: map[string]time.Duration{},
 	}
 	w.platform = &platform{world: w, fences: map[string]uint64{}, leading: map[string]string{}, promoteDelay: 300 * time.Millisecond}
 	for s := range chosen.services {
@@ -81,7 +81,7 @@
 
 func (w *world) addInstance(service, id string, log []entry, primary bool) {
 	w.instances[id] = &database{
-		world: w, id: id, service: service, up: true, primary: primary, term: 1, held: 1, log: log, lag: 5 * time.Millisecond,
+		world: w, id: id, service: service, up: true, primary: primary, term: 1, termHeld: 1, log: log, lag: 5 * time.Millisecond,
 	}
 	w.names = append(w.names, id)
 	slices.Sort(w.names)
@@ -92,7 +92,7 @@
 
 func (w *world) after(delay time.Duration, run func()) { w.agenda.Add(w.now+delay, run) }
 
-// runUntil plays events up to a moment.
+// runUntil runs the events up to the given time.
 func (w *world) runUntil(end time.Duration) {
 	for {
 		at, happens, found := w.agenda.Next(end)
@@ -115,7 +115,7 @@
 	w.cuts[[2]string{a, b}], w.cuts[[2]string{b, a}] = is, is
 }
 
-// path tells whether two ends reach each other now.
+// path reports whether two ends reach each other now.
 func (w *world) path(a, b string) bool {
 	for _, end := range []string{a, b} {
 		if i, found := w.instances[end]; found && i.dark {
@@ -154,7 +154,7 @@
 	done   func(answered bool)
 }
 
-// database is an instance.
+// database is a simulated database instance.
 type database struct {
 	world    *world
 	id       string
@@ -163,13 +163,13 @@
 	dark     bool
 	primary  bool
 	term     uint64
-	held     uint64
+	termHeld uint64
 	log      []entry
 	paused   bool
 	draining bool
 	lag      time.Duration
 	waiting  []waiter
-	deposed  time.Duration // since when it has reached a later primary; 0: not
+	deposed  time.Duration // since when it has been connected to a later primary; 0: not connected
 	life     int
 }
 
@@ -181,35 +181,35 @@
 }
 
 func (d *database) status() Status {
-	return Status{Primary: d.primary, Term: d.term, Received: d.position(), TermHeld: d.held, LagMs: d.lag.Milliseconds()}
+	return Status{Primary: d.primary, Term: d.term, Received: d.position(), TermHeld: d.termHeld, LagMs: d.lag.Milliseconds()}
 }
 
-// ask carries out a probe. False: it refuses and says nothing of use.
+// ask carries out a probe, and reports whether it was accepted.
 func (d *database) ask(kind ProbeKind, term uint64) bool {
 	switch kind {
 	case AskPause:
-		if term <= d.held {
+		if term <= d.termHeld {
 			return false
 		}
-		d.held = term
+		d.termHeld = term
 		d.paused = !d.primary
 	case AskContinue:
 		d.paused = false
 	case AskStepDown:
 		if term > d.term {
-			d.held = max(d.held, term)
-			d.loseLead()
+			d.termHeld = max(d.termHeld, term)
+			d.stepDown()
 		}
 	}
 	return true
 }
 
-func (d *database) loseLead() {
+func (d *database) stepDown() {
 	wasPrimary := d.primary
 	d.primary, d.deposed = false, 0
 	d.dropWaiting()
 	if wasPrimary {
-		d.tell()
+		d.sendHeartbeat()
 	}
 }
 
@@ -221,11 +221,11 @@
 	}
 }
 
-// write runs a commit. It is answered once a replica has received it.
-func (d *database) write(number int, done func(answered bool, place Position)) {
+// write commits a write, which is answered once a replica has received it.
+func (d *database) write(number int, done func(answered bool, position Position)) {
 	d.log = append(d.log, entry{term: d.term, write: number})
-	place := d.position()
-	d.waiting = append(d.waiting, waiter{number: len(d.log), since: d.world.now, done: func(answered bool) { done(answered, place) }})
+	position := d.position()
+	d.waiting = append(d.waiting, waiter{number: len(d.log), since: d.world.now, done: func(answered bool) { done(answered, position) }})
 	if d.world.options.sync == 0 {
 		d.received(len(d.log))
 	}
@@ -245,7 +245,7 @@
 	})
 }
 
-// receive takes the log of the primary, cutting back its own.
+// receive adopts the log of the primary, truncating its own.
 func (d *database) receive(from *database, log []entry) bool {
 	if !d.up || d.paused || !d.world.path(d.id, from.id) || from.term < d.term || d.primary {
 		return false
@@ -253,7 +253,7 @@
 	if from.term == d.term && len(log) < len(d.log) {
 		return true
 	}
-	d.term, d.held = from.term, max(d.held, from.term)
+	d.term, d.termHeld = from.term, max(d.termHeld, from.term)
 	d.log = log[:len(log):len(log)]
 	return true
 }
@@ -275,7 +275,7 @@
 	d.waiting = append(left, d.waiting...)
 }
 
-// syncLogs lets replicas catch up, and old primaries find the new ones.
+// syncLogs lets replicas catch up, and old primaries detect the new ones.
 func (w *world) syncLogs() {
 	for _, name := range w.names {
 		d := w.instances[name]
@@ -285,14 +285,14 @@
 		}
 		for _, other := range w.of(d.service) {
 			if other != d {
-				d.meet(other)
+				d.syncWith(other)
 			}
 		}
 	}
 	w.after(syncEvery, w.syncLogs)
 }
 
-func (d *database) meet(other *database) {
+func (d *database) syncWith(other *database) {
 	if !other.up || !d.world.path(d.id, other.id) || d.term < other.term {
 		return
 	}
@@ -304,7 +304,7 @@
 		other.deposed = d.world.now
 	}
 	if d.world.now-other.deposed >= time.Second {
-		other.loseLead()
+		other.stepDown()
 	}
 }
 
@@ -320,19 +320,19 @@
 	if d.world.platform.leading[d.service] != d.id {
 		d.primary = false
 	}
-	d.tell()
+	d.sendHeartbeat()
 }
 
-// beat tells the controller that the instance lives.
+// beat sends heartbeats to the controller periodically.
 func (d *database) beat() {
 	if d.world.instances[d.id] != d {
 		return
 	}
-	d.tell()
+	d.sendHeartbeat()
 	d.world.after(beatEvery, d.beat)
 }
 
-func (d *database) tell() {
+func (d *database) sendHeartbeat() {
 	host := d.world.current
 	if d.up && host != nil && d.world.path(d.id, host.name) {
 		host.step(Heartbeat{InstanceID: d.id, Service: d.service, Primary: d.primary})
@@ -345,19 +345,19 @@
 	fences       map[string]uint64
 	leading      map[string]string
 	promoteDelay time.Duration
-	trouble      string // "", lost, late, down, refuse
+	faultMode    string // "", lost, late, down, refuse
 	lateBy       time.Duration
 }
 
 func (p *platform) call(from *host, call PlatformCall) {
 	w := p.world
-	sent := w.judge.called(w, call)
+	sent := w.checker.called(w, call)
 	end := func(delay time.Duration, outcome PlatformOutcome, code int) {
 		w.after(delay, func() {
 			from.step(CallEnded{Result: PlatformResult{Number: call.Number, Outcome: outcome, Code: code}})
 		})
 	}
-	switch p.trouble {
+	switch p.faultMode {
 	case "down":
 		sent.acted = true
 		end(10*time.Millisecond, NotSent, 0)
@@ -405,7 +405,7 @@
 	for _, other := range w.of(target.service) {
 		term = max(term, other.term)
 		if w.options.termFromHeld {
-			term = max(term, other.held)
+			term = max(term, other.termHeld)
 		}
 		if w.options.promoteReleases {
 			other.paused = false
@@ -414,7 +414,7 @@
 	p.leading[target.service] = target.id
 	target.primary, target.paused, target.deposed = true, false, 0
 	target.term = term + 1
-	target.held = max(target.held, target.term)
-	w.judge.promoted(w, target)
-	target.tell()
+	target.termHeld = max(target.termHeld, target.term)
+	w.checker.promoted(w, target)
+	target.sendHeartbeat()
 }
