--- a/control/failover/choose.go
+++ b/control/failover/choose.go
@@ -131,7 +131,7 @@
 		spare = 0 // the leader is unknown, or was forgotten: it is the one instance that may be missing
 	}
 	missing := lo.Map(open, func(m *member, _ int) string { return m.instance.ID })
-	if chosen.pausedPosition.Less(s.view.Floor) && !s.settings().DisabledGuards.Lacks(guard.Floor) {
+	if chosen.pausedPosition.Less(s.view.Floor) && !s.settings().DisabledGuards.Has(guard.Floor) {
 		missing = append(missing, DepartedEarlier)
 	}
 	if len(missing) <= spare {
--- a/control/failover/watch.go
+++ b/control/failover/watch.go
@@ -99,7 +99,7 @@
 	}
 	leader := s.leader()
 	others := lo.Filter(s.presentMembers(), func(m *member, _ int) bool { return m.instance.ID != s.view.Leader.InstanceID })
-	kept := s.settings().DisabledGuards.Lacks(guard.LoneLeaderFrozen) && len(others) == 0
+	kept := s.settings().DisabledGuards.Has(guard.FreezeWithoutSuccessor) && len(others) == 0
 	if leader != nil && leader.isDrainOver(now, s.settings()) && !kept {
 		return leaderDraining, true // even if no instance can take over: the leader's drain was acknowledged
 	}
--- a/host/pending.go
+++ b/host/pending.go
@@ -7,23 +7,23 @@
 	"eiderway/control/controller"
 )
 
-// callNumbers hands out the numbers of questions, of all kinds in one row.
-type callNumbers struct{ last atomic.Uint64 }
+// callIDs issues call IDs, in one sequence for calls of all kinds.
+type callIDs struct{ last atomic.Uint64 }
 
-func (n *callNumbers) next() controller.Call { return controller.Call(n.last.Add(1)) }
+func (c *callIDs) next() controller.CallID { return controller.CallID(c.last.Add(1)) }
 
-// pending holds the questions of one kind that are not answered yet. An answer without an open question is dropped.
+// pending holds the unanswered calls of one kind. An answer without an open call is dropped.
 type pending[Answer any] struct {
 	mutex   sync.Mutex
-	waiting map[controller.Call]chan Answer
+	waiting map[controller.CallID]chan Answer
 }
 
 func newPending[Answer any]() *pending[Answer] {
-	return &pending[Answer]{waiting: make(map[controller.Call]chan Answer)}
+	return &pending[Answer]{waiting: make(map[controller.CallID]chan Answer)}
 }
 
-// open starts a question. Its answer comes through the channel, which never holds the sender up.
-func (p *pending[Answer]) open(call controller.Call) <-chan Answer {
+// open registers a call. Its answer comes through the channel, which is buffered so that finish never blocks.
+func (p *pending[Answer]) open(call controller.CallID) <-chan Answer {
 	answers := make(chan Answer, 1)
 	p.mutex.Lock()
 	p.waiting[call] = answers
@@ -31,8 +31,8 @@
 	return answers
 }
 
-// finish hands the answer over, and tells whether somebody waited for it.
-func (p *pending[Answer]) finish(call controller.Call, answer Answer) bool {
+// finish delivers the answer, and reports whether the call was still open.
+func (p *pending[Answer]) finish(call controller.CallID, answer Answer) bool {
 	p.mutex.Lock()
 	answers, found := p.waiting[call]
 	delete(p.waiting, call)
@@ -43,9 +43,8 @@
 	return found
 }
 
-// drop ends a question without an answer, and tells whether it was still open. If not, its answer is in the channel or
-// about to be.
-func (p *pending[Answer]) drop(call controller.Call) bool {
+// drop ends a call without an answer, and reports whether it was still open. If not, its answer is in the channel or about to be.
+func (p *pending[Answer]) drop(call controller.CallID) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	_, found := p.waiting[call]
--- a/wire/message_test.go
+++ b/wire/message_test.go
@@ -10,18 +10,18 @@
 	"eiderway/control/failover"
 )
 
-func TestConnectTakesDatabaseWhoAndInstance(t *testing.T) {
+func TestParseConnect(t *testing.T) {
 	is := is.New(t)
 	connect, err := ParseConnect("CONNECT huvo11a tenant i-7f3a91c2")
 	is.NoErr(err)
-	is.Equal(connect, Connect{Database: "huvo11a", Who: "tenant", InstanceID: "i-7f3a91c2"})
+	is.Equal(connect, Connect{Database: "huvo11a", User: "tenant", InstanceID: "i-7f3a91c2"})
 	is.Equal(string(AppendConnect(nil, connect)), "CONNECT huvo11a tenant i-7f3a91c2\r\n")
 	connect, err = ParseConnect("CONNECT lepu270 u3f1")
 	is.NoErr(err)
 	is.Equal(string(AppendConnect(nil, connect)), "CONNECT lepu270 u3f1\r\n")
 }
 
-func TestBrokenMessagesAreRefused(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	for _, line := range []string{"", "CONNECT", "CONNECT a", "CONNECT a ", "CONNECT  a", "CONNECT a b ", "connect a b", "QUERY 1 FETCH a"} {
 		if _, err := ParseConnect(line); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q as CONNECT: %v", line, err)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestRequestsKeepTheirTextUnchanged(t *testing.T) {
+func TestParseRequestKeepsTheText(t *testing.T) {
 	is := is.New(t)
 	request, err := ParseRequest("QUERY 5c0e PUT 1a4 some  data with blanks ")
 	is.NoErr(err)
@@ -44,18 +44,18 @@
 	is.True(request.Quit)
 }
 
-func TestStatementsOfClients(t *testing.T) {
+func TestParseStatement(t *testing.T) {
 	for text, want := range map[string]Statement{
 		"BEGIN":                  {Verb: Begin},
 		"BEGIN FETCH":            {Verb: Begin, ReadOnly: true},
 		"COMMIT":                 {Verb: Commit},
 		"ABORT":                  {Verb: Abort},
-		"FETCH 1a4":              {Verb: Fetch, Thing: "1a4"},
-		"PUT 1a4 x y":            {Verb: Put, Thing: "1a4", Data: "x y"},
+		"FETCH 1a4":              {Verb: Fetch, Key: "1a4"},
+		"PUT 1a4 x y":            {Verb: Put, Key: "1a4", Data: "x y"},
 		"SETOPT zone hall noord": {Verb: SetOpt, Name: "zone", Value: "hall noord"},
 		"PREPARE s1 PUT q2c":     {Verb: Prepare, Name: "s1", Kind: Put, Shape: "q2c"},
-		"EXECUTE s1 1a4":         {Verb: Execute, Name: "s1", Thing: "1a4"},
-		"EXECUTE s1 1a4 x y":     {Verb: Execute, Name: "s1", Thing: "1a4", Data: "x y", HasData: true},
+		"EXECUTE s1 1a4":         {Verb: Execute, Name: "s1", Key: "1a4"},
+		"EXECUTE s1 1a4 x y":     {Verb: Execute, Name: "s1", Key: "1a4", Data: "x y", HasData: true},
 		"RELEASE s1":             {Verb: Release, Name: "s1"},
 	} {
 		if got, err := ParseStatement(text); err != nil || got != want {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestTextsThatNoClientMaySend(t *testing.T) {
+func TestStatementsThatClientsMayNotSend(t *testing.T) {
 	for _, text := range []string{
 		"", "begin", "BEGIN PUT", "BEGIN ", "COMMIT now", "ABORT ", "FETCH", "FETCH ", "PUT", "PUT a", "PUT  x", "SETOPT a",
 		"PREPARE s1 q2c", "PREPARE s1 COMMIT q", "PREPARE s1 PUT", "PREPARE  PUT q", "EXECUTE s1", "EXECUTE  a", "RELEASE",
@@ -76,11 +76,11 @@
 	}
 }
 
-func TestStatementsOfInstances(t *testing.T) {
+func TestParseInstanceStatement(t *testing.T) {
 	is := is.New(t)
 	statement, err := ParseInstanceStatement("AFTERPOS 3.1207 FETCH 1a4")
 	is.NoErr(err)
-	is.Equal(statement, Statement{Verb: Fetch, Thing: "1a4", HasAfter: true, After: failover.Position{Term: 3, Number: 1207}})
+	is.Equal(statement, Statement{Verb: Fetch, Key: "1a4", HasAfter: true, After: failover.Position{Term: 3, Number: 1207}})
 	statement, err = ParseInstanceStatement("PAUSE 4")
 	is.NoErr(err)
 	is.Equal(statement, Statement{Verb: Pause, Term: 4})
@@ -90,14 +90,14 @@
 	}
 }
 
-func TestRenamingChangesNothingElse(t *testing.T) {
+func TestRenameExecuteChangesOnlyTheName(t *testing.T) {
 	is := is.New(t)
 	is.Equal(RenameExecute("EXECUTE s1 1a4", "fq"), "EXECUTE fq 1a4")
 	is.Equal(RenameExecute("EXECUTE s1 1a4 x  y ", "fq"), "EXECUTE fq 1a4 x  y ")
 	is.Equal(RenameExecute("EXECUTE EXECUTE EXECUTE s1", "fq"), "EXECUTE fq EXECUTE s1")
 }
 
-func TestStatusRow(t *testing.T) {
+func TestParseAndFormatStatus(t *testing.T) {
 	is := is.New(t)
 	status, err := ParseStatus("replica 3 3.1209 0 12 2 17")
 	is.NoErr(err)
@@ -114,13 +114,13 @@
 	}
 }
 
-func TestPromises(t *testing.T) {
+func TestPromisesNoEffect(t *testing.T) {
 	is := is.New(t)
 	for _, code := range []Code{Busy, RolledBack, Lagging, ReadOnly, WrongNode, ConnLimit} {
-		is.True(code.Promise()) // each of them
+		is.True(code.PromisesNoEffect()) // each of them
 	}
 	for _, code := range []Code{InDoubt, Timeout, ExecFail, NoStmt, NoDB, Malformed} {
-		is.True(!code.Promise()) // none of them
+		is.True(!code.PromisesNoEffect()) // none of them
 	}
 }
 
