--- a/control/failover/choose.go
+++ b/control/failover/choose.go
@@ -12,11 +12,11 @@
 // choose selects the instance that is to lead, once it is proven to hold every commit that may have been acknowledged.
 func (s *service) choose(now time.Duration) {
 	s.blocking = nil
-	chosen, held := s.selectCandidate(now)
+	chosen, paused := s.selectCandidate(now)
 	if chosen == nil {
 		return
 	}
-	if missing := s.blockingInstances(chosen, held); len(missing) > 0 && !s.manager.overrides.allowUnprovenChoice && !s.asynchronousWaitOver(now) {
+	if missing := s.blockingInstances(chosen, paused); len(missing) > 0 && !s.manager.overrides.allowUnprovenChoice && !s.asynchronousWaitOver(now) {
 		s.blocking = missing
 		s.logStall(now, missing)
 		return
@@ -41,19 +41,19 @@
 // instance that the platform may consider the present primary may do nothing: such an instance is returned only when for a long time
 // no other has been proven to hold every commit.
 func (s *service) selectCandidate(now time.Duration) (*member, []*member) {
-	held := s.pausedMembers()
-	best := s.furthest(held)
+	paused := s.pausedMembers()
+	best := s.furthest(paused)
 	if best == nil || !s.maySeemPrimary(best) {
-		return best, held
+		return best, paused
 	}
-	others := lo.Reject(held, func(m *member, _ int) bool { return s.maySeemPrimary(m) })
+	others := lo.Reject(paused, func(m *member, _ int) bool { return s.maySeemPrimary(m) })
 	if other := s.furthest(others); other != nil && len(s.blockingInstances(other, others)) == 0 {
 		return other, others
 	}
 	if now-max(s.clearedAt, s.call.endedAt) < seemsPrimaryWait && s.hasOtherCandidates(best) {
 		return nil, nil
 	}
-	return best, held
+	return best, paused
 }
 
 // maySeemPrimary reports whether the platform may consider an instance that doesn't lead the present primary: it is the recorded
@@ -80,9 +80,9 @@
 
 // furthest returns the member with the highest position. Among equals it prefers one for which no call was without effect, then one
 // that isn't draining, then one that isn't the recorded leader, then the one that lags least.
-func (s *service) furthest(held []*member) *member {
+func (s *service) furthest(paused []*member) *member {
 	var best *member
-	for _, m := range held {
+	for _, m := range paused {
 		if best == nil || s.isBetter(m, best) {
 			best = m
 		}
@@ -115,15 +115,15 @@
 //     one has reached (and no later term is known).
 //
 // Of those that left and were covered long ago only the furthest of these positions is kept, as the floor.
-func (s *service) blockingInstances(chosen *member, held []*member) []string {
+func (s *service) blockingInstances(chosen *member, paused []*member) []string {
 	led := s.view.Leader.InstanceID
 	laterTerm := s.highestLedTerm() > s.view.Leader.Term
 	open := lo.Filter(s.members, func(m *member, _ int) bool {
 		covered := !laterTerm && m.cover != nil && !chosen.pausedPosition.Less(*m.cover)
-		return !lo.Contains(held, m) && (!covered || m.instance.ID == led)
+		return !lo.Contains(paused, m) && (!covered || m.instance.ID == led)
 	})
 	leader := s.findMember(led)
-	if leader != nil && lo.Contains(held, leader) && !laterTerm {
+	if leader != nil && lo.Contains(paused, leader) && !laterTerm {
 		return nil
 	}
 	spare := 1
--- a/control/failover/host_test.go
+++ b/control/failover/host_test.go
@@ -134,10 +134,10 @@
 	w.after(delay, func() {
 		target := w.instances[probe.InstanceID]
 		switch {
-		case target == nil || w.path(h.name, probe.InstanceID) && !target.up:
+		case target == nil || w.canReach(h.name, probe.InstanceID) && !target.up:
 			end(Refused, Status{})
 			return
-		case !w.path(h.name, probe.InstanceID):
+		case !w.canReach(h.name, probe.InstanceID):
 			w.after(probeTimeout-delay, func() { end(Silent, Status{}) })
 			return
 		case w.chance(w.options.lossPer1000):
@@ -181,15 +181,15 @@
 
 // gateway sends writes and reads to the leaders while it has a lease.
 type gateway struct {
-	world   *world
-	name    string
-	lease   time.Duration
-	leaders map[string]feed.Leader
-	frozen  map[string]bool
-	changes map[string]int // counts freezes and expired leases: a success from before one is not passed on
-	reports map[string]*feed.InstanceReport
-	newest  time.Duration // when the poll was sent whose answer was applied last
-	busy    bool
+	world        *world
+	name         string
+	lease        time.Duration
+	leaders      map[string]feed.Leader
+	frozen       map[string]bool
+	changes      map[string]int // counts freezes and expired leases: a success from before one is not passed on
+	reports      map[string]*feed.InstanceReport
+	lastPollSent time.Duration // when the poll was sent whose answer was applied last
+	busy         bool
 }
 
 func newGateway(w *world, name string) *gateway {
@@ -232,13 +232,13 @@
 // poll fetches the table and a lease, which counts from when the poll was sent.
 func (g *gateway) poll() {
 	w, h, sent := g.world, g.world.current, g.world.now
-	if !w.path(g.name, h.name) || g.busy {
+	if !w.canReach(g.name, h.name) || g.busy {
 		return
 	}
 	g.busy = true
 	w.after(w.between(time.Millisecond, 5*time.Millisecond), func() {
 		g.busy = false
-		if h.stopped || !h.active || !w.path(g.name, h.name) {
+		if h.stopped || !h.active || !w.canReach(g.name, h.name) {
 			return
 		}
 		for _, id := range w.names {
@@ -259,10 +259,10 @@
 
 func (g *gateway) apply(h *host, sent time.Duration, views map[string]freezeView) {
 	w := g.world
-	if !w.path(g.name, h.name) || h != w.current || sent < g.newest {
+	if !w.canReach(g.name, h.name) || h != w.current || sent < g.lastPollSent {
 		return
 	}
-	g.newest = sent
+	g.lastPollSent = sent
 	if w.now > g.lease {
 		g.countLapse()
 	}
@@ -278,7 +278,7 @@
 		}
 	}
 	w.after(w.between(time.Millisecond, 5*time.Millisecond), func() {
-		if w.path(g.name, h.name) && h == w.current {
+		if w.canReach(g.name, h.name) && h == w.current {
 			h.applied[g.name] = keeps
 			h.tellCleared()
 		}
@@ -319,7 +319,7 @@
 	}
 	w.after(w.between(time.Millisecond, 4*time.Millisecond), func() {
 		switch {
-		case !w.path(g.name, at.id):
+		case !w.canReach(g.name, at.id):
 			w.after(writeTimeout, func() { g.report(at.id).Failures++ })
 		case !at.up:
 			g.report(at.id).Failures++
@@ -347,7 +347,7 @@
 		if open || w.options.allAnswers {
 			w.checker.answered(at, position, number)
 		}
-		if !w.path(g.name, at.id) {
+		if !w.canReach(g.name, at.id) {
 			return
 		}
 		g.report(at.id).Answers++
--- a/control/failover/pause.go
+++ b/control/failover/pause.go
@@ -189,9 +189,9 @@
 	if now-s.roundStartedAt < stepDownAfter || !s.isLeading(leader, s.clearedAt) {
 		return
 	}
-	held := s.pausedMembers()
-	ready := lo.ContainsBy(held, func(m *member) bool { return !m.pausedPosition.Less(leader.status.Received) })
-	if ready && len(s.blockingInstances(s.furthest(held), held)) > 0 {
+	paused := s.pausedMembers()
+	ready := lo.ContainsBy(paused, func(m *member) bool { return !m.pausedPosition.Less(leader.status.Received) })
+	if ready && len(s.blockingInstances(s.furthest(paused), paused)) > 0 {
 		s.probe(now, leader, AskStepDown, s.stepDownTerm(), s.settings().FastProbeInterval)
 	}
 }
--- a/control/failover/probe.go
+++ b/control/failover/probe.go
@@ -42,61 +42,61 @@
 
 // handleProbeEnded evaluates the result of a probe.
 func (s *service) handleProbeEnded(now time.Duration, probe *pendingProbe, result ProbeResult) {
-	of := probe.member
+	m := probe.member
 	result.Started = max(result.Started, probe.sent)
-	of.applyResult(now, result)
+	m.applyResult(now, result)
 	if result.Answer != Answered {
-		s.noteUnanswered(now, of)
+		s.noteUnanswered(now, m)
 		return
 	}
 	switch probe.kind {
 	case AskPause:
-		s.handlePause(now, of, probe, result)
+		s.handlePause(now, m, probe, result)
 	case AskContinue:
-		of.mayBePaused = of.outstanding[AskPause] != 0
-		of.continueTermHeld, of.continueLeaderTerm = result.Status.TermHeld, s.view.Leader.Term
+		m.mayBePaused = m.outstanding[AskPause] != 0
+		m.continueTermHeld, m.continueLeaderTerm = result.Status.TermHeld, s.view.Leader.Term
 	case AskStatus:
-		s.handleStatus(now, of, result)
+		s.handleStatus(now, m, result)
 	}
 	if !result.Status.Primary && (probe.kind == AskStepDown || result.Status.TermHeld >= s.view.Leader.Term) {
-		of.mustStepDown = false
+		m.mustStepDown = false
 	}
-	s.coverSilentMembers(of, result)
+	s.coverSilentMembers(m, result)
 }
 
-func (s *service) noteUnanswered(now time.Duration, of *member) {
-	if of.instance.ID == s.view.Leader.InstanceID || of.failures == 1 {
+func (s *service) noteUnanswered(now time.Duration, m *member) {
+	if m.instance.ID == s.view.Leader.InstanceID || m.failures == 1 {
 		s.fastProbesUntil = max(s.fastProbesUntil, now+s.settings().FastWindow)
 	}
 }
 
 // handlePause counts a position only from an instance that holds the round's term and no other.
-func (s *service) handlePause(now time.Duration, of *member, probe *pendingProbe, result ProbeResult) {
+func (s *service) handlePause(now time.Duration, m *member, probe *pendingProbe, result ProbeResult) {
 	if result.Status.TermHeld == probe.term {
-		of.pauseLost = false
+		m.pauseLost = false
 	}
 	if s.roundTerm == 0 || probe.term != s.roundTerm || result.Status.Primary {
 		return
 	}
-	s.confirmPause(now, of, result)
+	s.confirmPause(now, m, result)
 }
 
 // handleStatus accepts a status in place of the lost answer to a pause, and detects pauses of an earlier holder.
-func (s *service) handleStatus(now time.Duration, of *member, result ProbeResult) {
-	if s.roundTerm != 0 && of.pauseSent && !of.isPaused && result.Started >= of.pauseSentAt && !result.Status.Primary {
-		s.confirmPause(now, of, result)
+func (s *service) handleStatus(now time.Duration, m *member, result ProbeResult) {
+	if s.roundTerm != 0 && m.pauseSent && !m.isPaused && result.Started >= m.pauseSentAt && !result.Status.Primary {
+		s.confirmPause(now, m, result)
 	}
 	catchingUp := s.freezeReason == leaderDraining && !s.caughtUp
-	if (!s.frozen || catchingUp) && s.mayBePausedByEarlierHolder(of) {
-		of.mayBePaused = true
+	if (!s.frozen || catchingUp) && s.mayBePausedByEarlierHolder(m) {
+		m.mayBePaused = true
 	}
 }
 
-func (s *service) confirmPause(now time.Duration, of *member, result ProbeResult) {
+func (s *service) confirmPause(now time.Duration, m *member, result ProbeResult) {
 	if result.Status.TermHeld != s.roundTerm {
 		return
 	}
-	of.isPaused, of.pauseConfirmedAt, of.pausedPosition = true, now, result.Status.Received
+	m.isPaused, m.pauseConfirmedAt, m.pausedPosition = true, now, result.Status.Received
 }
 
 // mayBePausedByEarlierHolder reports whether an instance may have been paused by an earlier holder that never sent CONTINUE: it holds a
@@ -112,12 +112,12 @@
 
 // coverSilentMembers records the leader's position for every other instance that fell silent, or left, long enough before it was read:
 // such an instance has acknowledged nothing beyond it.
-func (s *service) coverSilentMembers(of *member, result ProbeResult) {
-	if !s.isLeading(of, result.Started) {
+func (s *service) coverSilentMembers(m *member, result ProbeResult) {
+	if !s.isLeading(m, result.Started) {
 		return
 	}
 	for _, other := range s.members {
-		if other != of {
+		if other != m {
 			other.coverBy(result.Status.Received, result.Started, s.settings().ReplicaLostAfter)
 		}
 	}
@@ -149,8 +149,8 @@
 }
 
 // retryInterval spares probes to an instance that doesn't answer: its next heartbeat shortens the interval again.
-func (s *service) retryInterval(of *member) time.Duration {
-	if of.failures < manyFailures || of.lastAliveAt >= of.failingSince {
+func (s *service) retryInterval(m *member) time.Duration {
+	if m.failures < manyFailures || m.lastAliveAt >= m.failingSince {
 		return s.settings().FastProbeInterval
 	}
 	return s.settings().LeaderProbeInterval
--- a/control/failover/scenario_test.go
+++ b/control/failover/scenario_test.go
@@ -76,24 +76,24 @@
 
 // do carries out a verb of a scenario, or a step of the search.
 func (w *world) do(fields []string) bool {
-	of := w.instances[fields[min(1, len(fields)-1)]]
+	target := w.instances[fields[min(1, len(fields)-1)]]
 	switch fields[0] {
 	case "crash":
-		of.crash()
+		target.crash()
 	case "start":
-		of.start()
+		target.start()
 	case "dark", "lit":
-		of.dark = fields[0] == "dark"
+		target.dark = fields[0] == "dark"
 	case "cut", "join":
 		w.cutOff(fields[1], fields[2], fields[0] == "cut")
 	case "lag":
-		of.lag, _ = time.ParseDuration(fields[2])
+		target.lag, _ = time.ParseDuration(fields[2])
 	case "pause":
-		of.termHeld, of.paused = of.termHeld+1, true
+		target.termHeld, target.paused = target.termHeld+1, true
 	case "drain":
-		w.drain(of)
+		w.drain(target)
 	case "leave":
-		w.leave(of)
+		w.leave(target)
 	case "takeover":
 		w.takeOver()
 	case "platform":
@@ -102,7 +102,7 @@
 			w.platform.lateBy, _ = time.ParseDuration(fields[2])
 		}
 	case "promote":
-		w.platform.promote(of)
+		w.platform.promote(target)
 	default:
 		return false
 	}
@@ -111,18 +111,18 @@
 
 // cutOff cuts an instance or gateway off from another end, or ends the cut. The other end is an instance, a gateway, "core" (all
 // controllers) or "gateways".
-func (w *world) cutOff(id, from string, is bool) {
+func (w *world) cutOff(id, from string, isCut bool) {
 	switch from {
 	case "core":
 		for epoch := range 20 {
-			w.cut(id, fmt.Sprintf("c%d", epoch+1), is)
+			w.cut(id, fmt.Sprintf("c%d", epoch+1), isCut)
 		}
 	case "gateways":
 		for _, g := range w.gateways {
-			w.cut(id, g.name, is)
+			w.cut(id, g.name, isCut)
 		}
 	default:
-		w.cut(id, from, is)
+		w.cut(id, from, isCut)
 	}
 }
 
@@ -182,7 +182,7 @@
 		got = strconv.Itoa(len(w.checker.calls[service]))
 	case "paused":
 		var paused []string
-		for _, d := range w.of(service) {
+		for _, d := range w.instancesOf(service) {
 			if d.paused {
 				paused = append(paused, d.id)
 			}
@@ -190,7 +190,7 @@
 		got = cmp.Or(strings.Join(paused, ","), "none")
 	case "primaries":
 		var found []string
-		for _, d := range w.of(service) {
+		for _, d := range w.instancesOf(service) {
 			if d.up && d.primary {
 				found = append(found, d.id)
 			}
--- a/control/failover/search_test.go
+++ b/control/failover/search_test.go
@@ -118,18 +118,18 @@
 	if w.chance(400) { // faults of the leader matter most
 		id = w.platform.leading[w.services[w.random.IntN(len(w.services))]]
 	}
-	of := w.instances[id]
-	if of == nil {
+	target := w.instances[id]
+	if target == nil {
 		return
 	}
 	duration := w.between(200*time.Millisecond, 7*time.Second)
 	switch w.random.IntN(12) {
 	case 0, 1:
-		w.crashFor(of, max(duration, restartTakes))
+		w.crashFor(target, max(duration, restartTakes))
 	case 2:
 		if w.maySilence(id, duration) {
-			of.dark = true
-			w.after(duration, func() { of.dark = false })
+			target.dark = true
+			w.after(duration, func() { target.dark = false })
 		}
 	case 3:
 		if !w.maySilence(id, duration) {
@@ -145,10 +145,10 @@
 		g := w.gateways[w.random.IntN(len(w.gateways))].name
 		w.cutFor(g, "core", duration)
 	case 7:
-		of.lag = w.between(100*time.Millisecond, 800*time.Millisecond)
-		w.after(duration, func() { of.lag = 5 * time.Millisecond })
+		target.lag = w.between(100*time.Millisecond, 800*time.Millisecond)
+		w.after(duration, func() { target.lag = 5 * time.Millisecond })
 	case 8:
-		w.drainAndLeave(of)
+		w.drainAndLeave(target)
 	case 9:
 		w.takeOver()
 	case 10:
@@ -157,24 +157,24 @@
 		w.platform.lateBy = w.between(500*time.Millisecond, 14*time.Second)
 		w.after(duration, func() { w.platform.faultMode = "" })
 	case 11:
-		w.isolateWithReplicas(of, duration)
+		w.isolateWithReplicas(target, duration)
 	}
 }
 
 // isolateWithReplicas lets an instance reach only its replicas and one gateway, which doesn't reach the controllers either.
-func (w *world) isolateWithReplicas(of *database, duration time.Duration) {
-	if !w.maySilence(of.id, duration) {
+func (w *world) isolateWithReplicas(target *database, duration time.Duration) {
+	if !w.maySilence(target.id, duration) {
 		return
 	}
 	alone := w.random.IntN(len(w.gateways))
-	w.cutFor(of.id, "core", duration)
+	w.cutFor(target.id, "core", duration)
 	w.cutFor(w.gateways[alone].name, "core", duration)
 	for n, g := range w.gateways {
 		if n != alone {
-			w.cutFor(of.id, g.name, duration)
+			w.cutFor(target.id, g.name, duration)
 		}
 	}
-	for _, other := range w.of(of.service) {
+	for _, other := range w.instancesOf(target.service) {
 		other.lag = w.between(5*time.Millisecond, 800*time.Millisecond)
 		w.after(duration, func() { other.lag = 5 * time.Millisecond })
 	}
@@ -191,15 +191,15 @@
 	return true
 }
 
-func (w *world) crashFor(of *database, duration time.Duration) {
-	if !of.up {
+func (w *world) crashFor(target *database, duration time.Duration) {
+	if !target.up {
 		return
 	}
-	w.silentUntil[of.id] = max(w.silentUntil[of.id], w.now+duration+3*time.Second)
-	of.crash()
+	w.silentUntil[target.id] = max(w.silentUntil[target.id], w.now+duration+3*time.Second)
+	target.crash()
 	w.after(duration, func() {
-		if w.instances[of.id] == of && !of.up {
-			of.start()
+		if w.instances[target.id] == target && !target.up {
+			target.start()
 		}
 	})
 }
@@ -209,14 +209,14 @@
 	w.after(duration, func() { w.cutOff(id, from, false) })
 }
 
-func (w *world) drainAndLeave(of *database) {
-	if of.draining || !of.up || len(of.id) > 4 {
+func (w *world) drainAndLeave(target *database) {
+	if target.draining || !target.up || len(target.id) > 4 {
 		return
 	}
-	w.drain(of)
+	w.drain(target)
 	w.after(w.between(7*time.Second, 10*time.Second), func() {
-		if w.instances[of.id] == of {
-			w.leave(of)
+		if w.instances[target.id] == target {
+			w.leave(target)
 		}
 	})
 }
--- a/control/failover/world_test.go
+++ b/control/failover/world_test.go
@@ -111,12 +111,12 @@
 
 func (w *world) chance(per1000 int) bool { return w.random.IntN(1000) < per1000 }
 
-func (w *world) cut(a, b string, is bool) {
-	w.cuts[[2]string{a, b}], w.cuts[[2]string{b, a}] = is, is
+func (w *world) cut(a, b string, isCut bool) {
+	w.cuts[[2]string{a, b}], w.cuts[[2]string{b, a}] = isCut, isCut
 }
 
-// path reports whether two ends reach each other now.
-func (w *world) path(a, b string) bool {
+// canReach reports whether two ends reach each other now.
+func (w *world) canReach(a, b string) bool {
 	for _, end := range []string{a, b} {
 		if i, found := w.instances[end]; found && i.dark {
 			return false
@@ -125,7 +125,7 @@
 	return !w.cuts[[2]string{a, b}]
 }
 
-func (w *world) of(service string) []*database {
+func (w *world) instancesOf(service string) []*database {
 	var found []*database
 	for _, name := range w.names {
 		if w.instances[name].service == service {
@@ -229,7 +229,7 @@
 	if d.world.options.sync == 0 {
 		d.received(len(d.log))
 	}
-	for _, other := range d.world.of(d.service) {
+	for _, other := range d.world.instancesOf(d.service) {
 		if other != d {
 			d.send(other)
 		}
@@ -247,7 +247,7 @@
 
 // receive adopts the log of the primary, truncating its own.
 func (d *database) receive(from *database, log []entry) bool {
-	if !d.up || d.paused || !d.world.path(d.id, from.id) || from.term < d.term || d.primary {
+	if !d.up || d.paused || !d.world.canReach(d.id, from.id) || from.term < d.term || d.primary {
 		return false
 	}
 	if from.term == d.term && len(log) < len(d.log) {
@@ -283,7 +283,7 @@
 		if !d.up || !d.primary {
 			continue
 		}
-		for _, other := range w.of(d.service) {
+		for _, other := range w.instancesOf(d.service) {
 			if other != d {
 				d.syncWith(other)
 			}
@@ -293,7 +293,7 @@
 }
 
 func (d *database) syncWith(other *database) {
-	if !other.up || !d.world.path(d.id, other.id) || d.term < other.term {
+	if !other.up || !d.world.canReach(d.id, other.id) || d.term < other.term {
 		return
 	}
 	if !other.primary {
@@ -334,7 +334,7 @@
 
 func (d *database) sendHeartbeat() {
 	host := d.world.current
-	if d.up && host != nil && d.world.path(d.id, host.name) {
+	if d.up && host != nil && d.world.canReach(d.id, host.name) {
 		host.step(Heartbeat{InstanceID: d.id, Service: d.service, Primary: d.primary})
 	}
 }
@@ -402,7 +402,7 @@
 		return
 	}
 	term := target.term
-	for _, other := range w.of(target.service) {
+	for _, other := range w.instancesOf(target.service) {
 		term = max(term, other.term)
 		if w.options.termFromHeld {
 			term = max(term, other.termHeld)
