--- a/cmd/eiderway/gossip.go
+++ b/cmd/eiderway/gossip.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println(transport.ShowKey(public))
+	fmt.Println(transport.FormatKey(public))
 	return nil
 }
 
@@ -45,7 +45,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Println(transport.ShowKey(public))
+		fmt.Println(transport.FormatKey(public))
 		fmt.Fprintln(os.Stderr, "add it to this instance's keys under members everywhere, SIGHUP everywhere, then rotate with --commit")
 		return nil
 	}
@@ -73,7 +73,7 @@
 		return err
 	}
 	public := private.Public().(ed25519.PublicKey)
-	fmt.Println(transport.ShowKey(public), transport.Fingerprint(public))
+	fmt.Println(transport.FormatKey(public), transport.Fingerprint(public))
 	return nil
 }
 
--- a/gossip/bounds.go
+++ b/gossip/bounds.go
@@ -36,9 +36,9 @@
 	return true
 }
 
-// ReportDuplicate tells whether two processes under a peer's name are to be told of each other now. A peer that was forgotten has
+// AllowDuplicateReport tells whether two processes under a peer's name are to be told of each other now. A peer that was forgotten has
 // no such bound: it has no duplicate either.
-func (n *Node) ReportDuplicate(who int, now float64) bool {
+func (n *Node) AllowDuplicateReport(who int, now float64) bool {
 	p := n.peerAt(who)
 	if p == nil || now < p.duplicateQuietUntil {
 		return false
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -172,7 +172,7 @@
 	case "asks":
 		require.Equal(s.t, arg(1), s.asked, s.where)
 	case "duplicate":
-		require.Equal(s.t, f[2] == "yes", s.node.ReportDuplicate(arg(1), s.now), s.where)
+		require.Equal(s.t, f[2] == "yes", s.node.AllowDuplicateReport(arg(1), s.now), s.where)
 	case "under-way": // a heartbeat that comes later, by the line late
 		p := s.peers[arg(1)]
 		p.seq++
--- a/gossip/transport/receive.go
+++ b/gossip/transport/receive.go
@@ -145,7 +145,7 @@
 func (t *Transport) reportDuplicate(e envelope, records []wireRecord, from netip.AddrPort) {
 	name := t.trust.Load().names[e.key]
 	id, ok := t.instanceIDs[name]
-	if !ok || len(t.lastAlive[id].Encoded) == 0 || !t.node.ReportDuplicate(id, t.now()) {
+	if !ok || len(t.lastAlive[id].Encoded) == 0 || !t.node.AllowDuplicateReport(id, t.now()) {
 		return
 	}
 	t.logOnce("twins "+name, "two processes have the name "+name)
--- a/gossip/transport/transport_test.go
+++ b/gossip/transport/transport_test.go
@@ -308,7 +308,7 @@
 	require.ErrorIs(t, err, os.ErrExist)
 	key, err := ReadKey(path)
 	require.NoError(t, err)
-	parsed, err := ParseKey(ShowKey(public))
+	parsed, err := ParseKey(FormatKey(public))
 	require.NoError(t, err)
 	require.True(t, parsed.Equal(key.Public()))
 	require.NoError(t, os.Chmod(path, 0o644))
--- a/gossip/transport/wire.go
+++ b/gossip/transport/wire.go
@@ -78,8 +78,8 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// ShowKey is a public key as settings have it.
-func ShowKey(key ed25519.PublicKey) string { return base64.StdEncoding.EncodeToString(key) }
+// FormatKey is a public key as settings have it.
+func FormatKey(key ed25519.PublicKey) string { return base64.StdEncoding.EncodeToString(key) }
 
 // Fingerprint names a public key in few letters.
 func Fingerprint(key ed25519.PublicKey) string {
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -53,7 +53,7 @@
 	for i := range n {
 		public, err := transport.NewKey(filepath.Join(dir, fmt.Sprint(i)))
 		require.NoError(t, err)
-		members += fmt.Sprintf("    - {name: r%d, keys: [%q]}\n", i, transport.ShowKey(ed25519.PublicKey(public)))
+		members += fmt.Sprintf("    - {name: r%d, keys: [%q]}\n", i, transport.FormatKey(ed25519.PublicKey(public)))
 		addrs[i] = loopback.ReserveForTest(t).Address()
 	}
 	routers := make([]*router, n)
