--- a/gossip/accusations.go
+++ b/gossip/accusations.go
@@ -1,25 +1,28 @@
 package gossip
 
-// This file owns what peers accuse servers of, what that weighs, and when it makes a server suspected. It must never let fewer
-// than a quorum of peers change anything, nor any number of them outlast own evidence.
+// This file weighs the accusations of peers and decides when they make a server suspected. Fewer peers than a quorum never change
+// anything, and no number of them overrides this instance's own observations.
 
 import (
 	"math"
 )
 
+// accusation is what a peer accuses a server of.
 type accusation struct {
 	receivedAt float64
 	expires    float64
 	reason     Reason
 }
 
-func (n *Node) peerAt(who int) *peer {
-	if who < 0 || who >= len(n.peers) {
+// peerAt returns the peer with an index, or nil.
+func (n *Node) peerAt(index int) *peer {
+	if index < 0 || index >= len(n.peers) {
 		return nil
 	}
-	return n.peers[who]
+	return n.peers[index]
 }
 
+// penalize takes weight from a peer whose accusation our own observations refuted.
 func (n *Node) penalize(who int, now float64) {
 	p := n.peerAt(who)
 	if p == nil {
@@ -30,11 +33,13 @@
 	n.counts.Wrong++
 }
 
+// penalty returns the lost weight of a peer, decayed to now.
 func (p *peer) penalty(now float64) float64 {
 	return p.lostWeight * math.Exp2(-max(0, now-p.lostWeightAt)/penaltyHalfLife)
 }
 
-// weight of a peer's accusations, 0 to 1: by its record, and nothing while it is new or accuses half of the servers.
+// weight returns the weight of a peer's accusations, from 0 to 1. Refuted accusations lower it. It is 0 for a peer that is new or
+// accuses more than half of the servers.
 func (n *Node) weight(p *peer, now float64) float64 {
 	switch {
 	case p == nil || !p.known || p.gone || now-p.firstHeard < minPeerAge:
@@ -46,14 +51,14 @@
 	return 1 / (1 + p.penalty(now))
 }
 
-// Quorum is the weight of accusations that makes a suspicion: it grows with the peers that are alive. Fewer than that many
-// peers can't bring it up, whatever they say.
+// Quorum returns the total weight of accusations that makes a server suspected. It grows with the number of alive peers. No peer
+// weighs more than 1, so fewer peers than that can't reach it.
 func (n *Node) Quorum() float64 { return max(2, math.Ceil(math.Log2(float64(n.alivePeers)+1))) }
 
-// dropAccusations drops all that a peer accuses.
+// dropAccusations removes all accusations of a peer.
 func (n *Node) dropAccusations(p *peer) {
-	for who, q := range n.peers {
-		if q == p {
+	for who, other := range n.peers {
+		if other == p {
 			for _, id := range n.serverOrder {
 				delete(n.servers[id].accusations, who)
 			}
@@ -62,8 +67,8 @@
 	clear(p.accused)
 }
 
-// Receive takes a record whose signature is its origin's. The host names its origin and server by index; a server that our
-// own list does not name has index -1.
+// Receive handles a record whose signature the host has verified. The host sets the indices of its origin and server; a server
+// that is not on our list has index -1.
 func (n *Node) Receive(r Record, now float64) Effects {
 	p, ok := n.admit(&r, now)
 	if !ok {
@@ -91,7 +96,7 @@
 	return e
 }
 
-// receiveAccusation takes an accusation, or its retraction.
+// receiveAccusation handles an accusation or its retraction.
 func (n *Node) receiveAccusation(server *serverState, p *peer, r Record, now float64) {
 	n.counts.Accusations++
 	if r.Kind == Retract {
@@ -108,24 +113,24 @@
 		return
 	}
 	if server.evidence[r.Reason].refutes(now) {
-		n.penalize(r.Origin, now) // we have just had an answer
+		n.penalize(r.Origin, now) // the server has just answered us
 		return
 	}
 	server.accusations[r.Origin] = accusation{now, now + accusationLifetime, r.Reason}
 }
 
-// assess tells whether accusations make a server suspected. Those of one zone alone have one way to the server, which may be
-// cut: where peers are in several zones they fall short of the quorum together.
+// assess updates whether accusations make a server suspected. Peers of one zone may share a broken network path to the server, so
+// where peers are in several zones, those of one zone alone never reach the quorum.
 func (n *Node) assess(server *serverState, now float64) []Suspicion {
-	zones := map[int]float64{}
+	weightByZone := map[int]float64{}
 	until, total := math.Inf(1), 0.0
 	quorum := n.Quorum()
 	if n.config.BelieveAll {
 		quorum = 1
 	}
 	for _, who := range sortedKeys(server.accusations) {
-		a, p := server.accusations[who], n.peerAt(who)
-		if now >= a.expires || p == nil {
+		accusation, p := server.accusations[who], n.peerAt(who)
+		if now >= accusation.expires || p == nil {
 			delete(server.accusations, who)
 			continue
 		}
@@ -134,14 +139,14 @@
 			w = 1
 		}
 		if w > 0 {
-			zones[p.zone] += w
-			until = min(until, a.expires)
+			weightByZone[p.zone] += w
+			until = min(until, accusation.expires)
 		}
 	}
-	several := !n.config.BelieveAll && n.zoneCount() > 1
-	for _, z := range sortedKeys(zones) {
-		w := zones[z]
-		if several {
+	severalZones := !n.config.BelieveAll && n.zoneCount() > 1
+	for _, z := range sortedKeys(weightByZone) {
+		w := weightByZone[z]
+		if severalZones {
 			w = min(w, quorum-1)
 		}
 		total += w
@@ -153,15 +158,15 @@
 		}
 		return nil
 	}
-	began := !server.suspected
-	if began {
+	isNew := !server.suspected
+	if isNew {
 		n.counts.Suspicions++
 	}
 	server.suspected, server.suspectedUntil = true, until
-	return []Suspicion{{Server: server.id, Until: until, ProbeNow: began}}
+	return []Suspicion{{Server: server.id, Until: until, ProbeNow: isNew}}
 }
 
-// zoneCount counts the zones in which peers are.
+// zoneCount returns the number of zones with alive instances, this one included.
 func (n *Node) zoneCount() int {
 	seen := map[int]bool{n.config.Zone: true}
 	for _, p := range n.peers {
@@ -172,16 +177,17 @@
 	return len(seen)
 }
 
-// budgetSpent tells whether as much of a server's group is suspected already as accusations alone may bring about.
+// budgetSpent reports whether one more suspicion would exceed the share of a server's group that accusations alone may make
+// suspected.
 func (n *Node) budgetSpent(server *serverState, now float64) bool {
-	all, suspected := 0, 0
+	members, suspected := 0, 0
 	for _, id := range n.serverOrder {
 		if other := n.servers[id]; other.group == server.group {
-			all++
+			members++
 			if other.suspected && now < other.suspectedUntil {
 				suspected++
 			}
 		}
 	}
-	return float64(suspected+1) > max(1, suspectBudget*float64(all))
+	return float64(suspected+1) > max(1, suspectBudget*float64(members))
 }
--- a/gossip/api.go
+++ b/gossip/api.go
@@ -1,117 +1,117 @@
-// Package gossip decides whom to believe: which peers are alive, what their accusations of servers are worth, which servers
-// this router should suspect because of them, and which records to send to whom within a bound of bytes. Its words are
-// those of SWIM: a Node is an instance that takes part, suspicion is what accusations bring about, an incarnation is one
-// life of a process. The servers that are accused take no part.
+// Package gossip exchanges accusations of servers between routers. It decides which peers are alive, how much their accusations
+// weigh, which servers this router should suspect because of them, and which records to send to whom within a limit of bytes per
+// second. Its terms are those of SWIM: a Node is a participating instance, accusations lead to suspicion, and an incarnation is
+// one run of a process. The accused servers do not participate.
 //
-// How to call it: New makes a Node from a Config. The host tells what this router observed itself (Observe, Started,
-// Finished), the members of the list (AddServer, RemoveServer), and each record that came with a valid signature (Receive);
-// it calls Tick some times a second and does what that returns: suspicions for the module that chooses servers, and records
-// to sign and hand to Publish; then it calls Round for the datagrams to send. Time (seconds of Unix time) is handed in, ids
-// are small indices that the host gives. One seed and one history of calls give one history of effects. The threat model and
-// the ways weighed: docs/gossip.md.
+// Usage: New makes a Node from a Config. The host passes in what this router observed itself (Observe, Started, Finished), the
+// members of the list (AddServer, RemoveServer), and each record that arrived with a valid signature (Receive). It calls Tick
+// several times a second and carries out the effects that this returns: suspicions for the module that chooses servers, and
+// records to sign and pass to Publish. Then it calls Round for the datagrams to send. The host passes in the time (seconds of
+// Unix time) and assigns small indices as ids. The same seed and the same calls give the same effects. The threat model and the
+// alternatives considered are in docs/gossip.md.
 package gossip
 
-// Kind says what a record is.
+// Kind is the kind of a record.
 type Kind uint8
 
 const (
-	Alive   Kind = iota // its origin is alive, and tells of itself
-	Leave               // its origin leaves
-	Accuse              // a server failed it
-	Retract             // a server that it accused answers it again
+	Alive   Kind = iota // a heartbeat: its origin is alive in this zone, with this version of the list
+	Leave               // its origin is shutting down
+	Accuse              // its origin observes that a server fails
+	Retract             // its origin takes its accusation of a server back
 )
 
-// Reason says what kind of trouble an accusation is about.
+// Reason is the kind of failure that an accusation is about.
 type Reason uint8
 
 const (
-	Unresponsive Reason = iota // it does not answer: a probe that is answered says otherwise
-	Failing                    // what is submitted to it fails or is lost: only an answered submission says otherwise
+	Unresponsive Reason = iota // the server does not answer; an answered probe refutes this
+	Failing                    // submissions to the server fail or are lost; only an answered submission refutes this
 )
 
-// Record is a peer's own statement. Only its origin can make it; others pass it on as it is.
+// Record is a statement that its origin makes and signs. Other peers pass it on unchanged.
 type Record struct {
 	Kind        Kind
 	Origin      int     // the peer
-	Incarnation int64   // of its process: a later start has a higher one
-	Seq         int64   // of its records in that incarnation
-	At          float64 // s, its clock
+	Incarnation int64   // of the origin's process; a later start has a higher one
+	Seq         int64   // number of the record in that incarnation
+	At          float64 // s, by the clock of the origin
 	Zone        int     // of Alive
-	ListVersion int64   // of Alive: the version of its member list
+	ListVersion int64   // of Alive: version of the origin's member list
 	Server      int     // of Accuse and Retract
 	Reason      Reason  // of Accuse
-	Size        int     // bytes, signed and all
-	Encoded     []byte  // as it goes over the wire; this package only carries it
+	Size        int     // bytes on the wire, with its signature
+	Encoded     []byte  // the bytes on the wire, which this package does not read
 }
 
-// Suspicion is a server that accusations make this router suspect.
+// Suspicion says until when accusations make this router suspect a server. An Until that is not in the future ends it.
 type Suspicion struct {
 	Server   int
 	Until    float64
-	ProbeNow bool // it begins with this, so probe the server at once
+	ProbeNow bool // the suspicion is new: probe the server at once
 }
 
-// SeedPeer stands for an address of the settings, of which the host knows which is next.
+// SeedPeer as a destination means a seed address of the settings; the host picks which.
 const SeedPeer = -2
 
-// Send is a datagram's worth of records for a peer, or for a SeedPeer.
+// Send holds the records of one datagram to a peer or to SeedPeer.
 type Send struct {
 	To      int
 	Records []Record
 }
 
-// Effects are what a step asks for.
+// Effects are what the host must do after a call.
 type Effects struct {
-	Own          []Record // to be signed and handed back by Publish, before Sends are
+	Own          []Record // sign these and return them through Publish before asking Round what to send
 	Suspicions   []Suspicion
 	Sends        []Send
-	ListOutdated bool // a peer has a newer member list: ask for ours again
+	ListOutdated bool // a peer has a newer member list: request the list again
 	Notes        []string
 }
 
-// Config is what a Node is given at start.
+// Config holds the settings of a Node.
 type Config struct {
 	Seed           int64
 	Incarnation    int64
 	Zone           int
-	BytesPerSecond float64 // out, of which a second's worth at once
-	DatagramBytes  int     // bytes of records in one
-	Accuse         bool    // this router tells what it observes
-	BelieveAll     bool    // for comparisons only: no track record and no quorum, any accusation is believed
+	BytesPerSecond float64 // outgoing; up to one second's worth may go at once
+	DatagramBytes  int     // most bytes of records in one datagram
+	Accuse         bool    // whether this router accuses servers by what it observes
+	BelieveAll     bool    // for comparison in tests only: believe any accusation, without peer weights and quorum
 }
 
 const (
-	heartbeatEvery        = 1.0     // s between an instance's heartbeats, while there are few
-	heartbeatRetransmits  = 3       // times a heartbeat is passed on by each: one in twenty misses it, and has the next
-	heartbeatBytes        = 150.0   // bytes of one, with its part of a datagram's envelope
-	heartbeatShare        = 0.25    // share of the bytes that heartbeats may take: a peer that is gone needs no quick notice
+	heartbeatEvery        = 1.0     // s between an instance's heartbeats, while there are few instances
+	heartbeatRetransmits  = 3       // times each instance passes a heartbeat on: one instance in twenty misses it and gets the next
+	heartbeatBytes        = 150.0   // bytes of a heartbeat with its part of the datagram's envelope
+	heartbeatShare        = 0.25    // largest share of the bytes for heartbeats: the end of a peer need not be noticed quickly
 	seedEvery             = 10.0    // s between datagrams to a seed
-	heartbeatsMissed      = 6       // heartbeats that may be lost until a peer counts as gone: at 30% loss one in a thousand is
-	roundEvery            = 0.2     // s between rounds of sending: five rounds reach all of a few hundred
-	urgentRoundEvery      = 0.1     // s between them while an accusation has not been told yet: a second less until all know
-	fanout                = 2       // peers that a round sends to: one loss in three still lets a record spread
-	retransmitFactor      = 3.0     // times log2 of the peers that a record is passed on
-	minPeerAge            = 5.0     // s a peer must have been heard of until its accusations count
-	maxRecordAge          = 10.0    // s a record may be old by its origin's clock, beyond what that clock is known to be off
-	maxClockSkew          = 300.0   // s a clock may be off: beyond it a peer is left out
-	maxPeers              = 4096    // peers that are remembered: beyond it, those gone for longest go
-	gonePeerRetention     = 120.0   // s a peer that is gone is remembered, with its record
-	accusationInterval    = 0.5     // s: one accusation a peer a server in as long counts, the others say nothing new
-	accusationLifetime    = 3.0     // s an accusation is believed unless repeated
-	repeatAccusationEvery = 1.0     // s until an accusation that holds is repeated
-	evidenceHalfLife      = 5.0     // s, half-life of what this router observed itself
-	accuseFromFailures    = 1.5     // failures, decayed, from which it accuses
-	accuseFromShare       = 0.5     // share of what it observed that must have failed,
-	accuseFromStreak      = 2       // or as many in a row: what was good a while ago says nothing of a server that hangs now
-	overdueFactor         = 8.0     // usual latencies from which an answer is overdue: of exponential work one in 3,000 takes as long
-	overdueMin            = 0.05    // s that an answer may take at least: a pause of this process must not look like a server's
-	latencyGain           = 0.02    // weight of the newest latency in what is usual
-	maxInFlight           = 256     // submissions that are watched at a server: beyond it the newest are not
-	maxAccusedShare       = 0.5     // a peer that accuses more than this share of the servers has a trouble of its own
-	minAccused            = 3       // servers accused until that can be told
-	suspectBudget         = 1.0 / 3 // share of a group that may be suspected by accusations alone
-	falseAccusationCost   = 1.0     // weight that an accusation takes from its peer when own evidence says otherwise
-	trueAccusationGain    = 0.5     // and that it gets back when own evidence says the same
-	penaltyHalfLife       = 60.0    // s, half-life of that
-	refutationWindow      = 1.0     // s own good evidence speaks against an accusation that comes after it
+	heartbeatsMissed      = 6       // intervals without a heartbeat until a peer counts as gone: at 30% loss wrong once in a thousand
+	roundEvery            = 0.2     // s between rounds of sending: five rounds reach all of a few hundred instances
+	urgentRoundEvery      = 0.1     // s between rounds while an accusation waits to be sent: all know it a second earlier
+	fanout                = 2       // peers that a round sends to: a record still spreads when one datagram in three is lost
+	retransmitFactor      = 3.0     // a record is passed on this factor times log2 of the number of peers
+	minPeerAge            = 5.0     // s since a peer was first heard from until its accusations count
+	maxRecordAge          = 10.0    // s, greatest age of a record by its origin's clock, corrected by the known skew of that clock
+	maxClockSkew          = 300.0   // s, greatest skew of a clock: records beyond it are ignored
+	maxPeers              = 4096    // greatest number of peer indices: records of origins beyond it are ignored
+	gonePeerRetention     = 120.0   // s for which a peer that is gone is remembered, with the weight it lost
+	accusationInterval    = 0.5     // s in which one accusation of a server by a peer counts; further ones say nothing new
+	accusationLifetime    = 3.0     // s for which an accusation holds unless repeated
+	repeatAccusationEvery = 1.0     // s between repetitions of an accusation that still holds
+	evidenceHalfLife      = 5.0     // s, half-life of the observations of this router
+	accuseFromFailures    = 1.5     // failures, decayed, from which this router accuses a server
+	accuseFromShare       = 0.5     // share of its observations that must have failed,
+	accuseFromStreak      = 2       // or failures in a row: earlier successes say nothing about a server that hangs now
+	overdueFactor         = 8.0     // usual latencies from which an answer is overdue: with exponential latency one in 3,000 takes as long
+	overdueMin            = 0.05    // s before which no answer is overdue: a pause of this process must not look like one of the server
+	latencyGain           = 0.02    // weight of the newest latency in the moving average
+	maxInFlight           = 256     // submissions tracked for each server; further ones are not tracked
+	maxAccusedShare       = 0.5     // a peer that accuses a greater share of the servers has a fault of its own
+	minAccused            = 3       // accused servers from which maxAccusedShare applies
+	suspectBudget         = 1.0 / 3 // largest share of a group that accusations alone may make suspected
+	falseAccusationCost   = 1.0     // penalty of a peer whose accusation our own observations refute
+	trueAccusationGain    = 0.5     // penalty taken back when our own observations confirm its accusation
+	penaltyHalfLife       = 60.0    // s, half-life of the penalty
+	refutationWindow      = 1.0     // s for which our own success refutes accusations that arrive after it
 )
--- a/gossip/bounds.go
+++ b/gossip/bounds.go
@@ -1,31 +1,32 @@
 package gossip
 
-// This file owns the bounds on what comes in: how many bytes are looked at, how often two processes of one name are told
-// of each other, and how often the member list is asked for because a peer has a newer one. It must never look into a
-// record.
+// This file limits what incoming traffic can trigger: how many bytes are processed, how often two processes of one name are
+// told of each other, and how often the member list is requested because a peer has a newer one. It never inspects the
+// contents of a record.
 
 import "math"
 
 const (
-	inboundMinPeers      = 4.0 // peers whose bytes are looked at however few are trusted: room for an instance that starts anew
-	inboundBurst         = 8.0 // s of the peers' bytes that may come at once, after a pause of this process
-	duplicateReportEvery = 5.0 // s between messages to two processes of one name
-	listRequestEvery     = 2.0 // s between requests for the list for a peer's newer version: a watch brings it in half of that, mostly
+	inboundMinPeers      = 4.0 // least number of peers that the byte limit allows for, so that an instance that restarts has room
+	inboundBurst         = 8.0 // s of the peers' traffic that may arrive at once, after a pause of this process
+	duplicateReportEvery = 5.0 // s between reports to two processes of one name
+	listRequestEvery     = 2.0 // s between list requests caused by a peer's newer version: the watch mostly delivers it in half of that
 )
 
-// InboundLimit bounds the bytes that are looked at, by what all who are trusted may send. The zero value is empty at first.
+// InboundLimit is a token bucket on the received bytes that are processed; its rate is what all trusted peers together may send.
+// Its first call fills it with the bytes of one second.
 type InboundLimit struct {
-	BytesPerPeer float64 // a second, of each peer
+	BytesPerPeer float64 // bytes per second of each peer
 	credit       float64
 	filledAt     float64
-	begun        bool
+	started      bool
 }
 
-// Allow tells whether a datagram of n bytes is looked at, with so many peers trusted.
+// Allow reports whether a datagram of n bytes may be processed, given the number of trusted peers.
 func (i *InboundLimit) Allow(n, peers int, now float64) bool {
 	rate := i.BytesPerPeer * math.Max(inboundMinPeers, float64(peers))
-	if !i.begun {
-		i.begun, i.credit, i.filledAt = true, rate, now
+	if !i.started {
+		i.started, i.credit, i.filledAt = true, rate, now
 	}
 	i.credit = math.Min(rate*inboundBurst, i.credit+rate*math.Max(0, now-i.filledAt))
 	i.filledAt = now
@@ -36,10 +37,10 @@
 	return true
 }
 
-// AllowDuplicateReport tells whether two processes under a peer's name are to be told of each other now. A peer that was forgotten has
-// no such bound: it has no duplicate either.
-func (n *Node) AllowDuplicateReport(who int, now float64) bool {
-	p := n.peerAt(who)
+// AllowDuplicateReport reports whether two processes under a peer's name are to be told of each other now, and starts the pause
+// until the next report. It is false for a peer that is no longer remembered: that one has no duplicate either.
+func (n *Node) AllowDuplicateReport(index int, now float64) bool {
+	p := n.peerAt(index)
 	if p == nil || now < p.duplicateQuietUntil {
 		return false
 	}
@@ -47,18 +48,18 @@
 	return true
 }
 
-// needsList tells whether the list is to be asked for, since a peer has a newer version: once for each version, and not too
-// often, so that a peer that makes versions up brings about a call now and then at most.
-func (n *Node) needsList(rev int64, now float64) bool {
-	if rev <= n.listVersion || rev <= n.requestedVersion || now < n.nextListRequest {
+// needsList reports whether to request the member list because a peer has a newer version: once for each version, and at most
+// every listRequestEvery, so that a peer that makes up versions causes few calls.
+func (n *Node) needsList(version int64, now float64) bool {
+	if version <= n.listVersion || version <= n.requestedVersion || now < n.nextListRequest {
 		return false
 	}
-	n.requestedVersion, n.nextListRequest = rev, now+listRequestEvery
-	if rev > n.listVersion+maxVersionLeap {
-		n.requestedVersion = n.listVersion // a leap that may be made up must not hide the versions below it
+	n.requestedVersion, n.nextListRequest = version, now+listRequestEvery
+	if version > n.listVersion+maxVersionLeap {
+		n.requestedVersion = n.listVersion // a made-up version must not hide the real ones below it
 	}
 	return true
 }
 
-// maxVersionLeap is how far ahead a version may be to be taken for one that exists.
+// maxVersionLeap is how far ahead of ours a version may be and still be taken for one that exists.
 const maxVersionLeap = 1000
--- a/gossip/evidence.go
+++ b/gossip/evidence.go
@@ -1,61 +1,62 @@
 package gossip
 
-// This file owns what this instance observed itself of servers. It must never take a peer's word for it.
+// This file keeps what this instance itself observed of servers. Statements of peers never count here.
 
 import (
 	"math"
 	"slices"
 )
 
+// submission is a submission to a server that has not ended.
 type submission struct {
 	sent    float64
-	overdue bool // counted
+	overdue bool // already counted as a failure
 }
 
-// evidence is what this instance observed of one kind, decayed.
+// evidence holds what this instance observed of one server for one Reason, with exponential decay.
 type evidence struct {
 	successes, failures float64
 	decayedAt           float64
-	successAt           float64 // the newest success, by when it was sent
-	failureAt           float64
-	streak              int // failures since the last success
+	successAt           float64 // when the newest success was sent
+	failureAt           float64 // when the newest failure was seen
+	streak              int     // failures since the last success
 }
 
-// refutes tells whether it speaks against an accusation that comes now.
+// refutes reports whether a recent success refutes an accusation that arrives now.
 func (e *evidence) refutes(now float64) bool {
 	return now-e.successAt < refutationWindow && e.failureAt < e.successAt
 }
 
-// Started tells that a submission has left for a server. Its end is told by Observe, or by Finished where it shows nothing.
+// Started records that a submission was sent to a server. Observe ends it, or Finished if its end shows nothing about the server.
 func (n *Node) Started(id int, sent float64) {
 	if server := n.servers[id]; server != nil && len(server.inFlight) < maxInFlight {
 		server.inFlight = append(server.inFlight, submission{sent: sent})
 	}
 }
 
-// Finished ends what Started began.
+// Finished ends a submission that Started recorded.
 func (n *Node) Finished(id int, sent float64) {
 	if server := n.servers[id]; server != nil {
-		if i := slices.IndexFunc(server.inFlight, func(o submission) bool { return o.sent == sent }); i >= 0 {
+		if i := slices.IndexFunc(server.inFlight, func(s submission) bool { return s.sent == sent }); i >= 0 {
 			server.inFlight = slices.Delete(server.inFlight, i, i+1)
 		}
 	}
 }
 
-// countOverdue counts submissions whose answers should be there by far: each is taken as no answer, before it times out. A
-// probe that is answered, or any answer, says otherwise. It covers servers that hang, on which else each of many quiet
-// routers loses a submission of its own to find out; it harms where a type of txn takes eight usual latencies: the
-// accusations of a quorum then cost that server a probe and its turn, no more.
+// countOverdue counts each submission whose answer is long overdue as a failure, before it times out. An answered probe or
+// submission refutes that. Without it, each of many routers with little load would lose a submission of its own to a server that
+// hangs before it found out. The cost: where one type of transaction takes eight usual latencies, the accusations of a quorum
+// make routers probe that server and prefer others meanwhile, no more.
 func (n *Node) countOverdue(server *serverState, now float64) {
 	if n.usualLatency == 0 || now-n.tickedAt > overdueMin+2*urgentRoundEvery {
-		return // or this process has paused
+		return // no latency is known yet, or this process has paused
 	}
 	limit := max(overdueMin, overdueFactor*n.usualLatency)
 	evidence := &server.evidence[Unresponsive]
 	for i := range server.inFlight {
-		if o := &server.inFlight[i]; !o.overdue && now-o.sent > limit {
-			o.overdue = true
-			if o.sent > evidence.successAt {
+		if s := &server.inFlight[i]; !s.overdue && now-s.sent > limit {
+			s.overdue = true
+			if s.sent > evidence.successAt {
 				evidence.decay(now)
 				evidence.failures += 2 * accuseFromFailures
 				evidence.failureAt = now
@@ -66,8 +67,8 @@
 	}
 }
 
-// Observe tells what a submission, or a probe, of ours that was sent at a time has shown of a server. A probe says nothing of
-// what becomes of submissions; an answered submission says that the server answers, too.
+// Observe records the result of a submission or probe of ours, sent at the given time. A probe is no evidence of whether
+// submissions succeed; an answered submission is evidence that the server answers, too.
 func (n *Node) Observe(id int, good, probe bool, sent, now float64) []Suspicion {
 	server := n.servers[id]
 	if server == nil {
@@ -97,12 +98,12 @@
 			evidence.failureAt = now
 		}
 	}
-	// What was said before we asked, and is not so: they are wrong, or it has passed. Whoever goes on saying so loses
-	// weight for it. Who is right gets weight back.
+	// A success refutes accusations that arrived before we sent: they are wrong or outdated, and each costs its peer weight.
+	// A failure confirms them and gives their peers weight back.
 	for _, who := range sortedKeys(server.accusations) {
-		a, p := server.accusations[who], n.peerAt(who)
+		accusation, p := server.accusations[who], n.peerAt(who)
 		switch {
-		case a.receivedAt > sent || probe && a.reason == Failing || p == nil:
+		case accusation.receivedAt > sent || probe && accusation.reason == Failing || p == nil:
 		case good:
 			n.penalize(who, now)
 			delete(server.accusations, who)
@@ -121,11 +122,11 @@
 }
 
 func (e *evidence) decay(now float64) {
-	f := math.Exp2(-max(0, now-e.decayedAt) / evidenceHalfLife)
-	e.successes, e.failures, e.decayedAt = e.successes*f, e.failures*f, now
+	factor := math.Exp2(-max(0, now-e.decayedAt) / evidenceHalfLife)
+	e.successes, e.failures, e.decayedAt = e.successes*factor, e.failures*factor, now
 }
 
-// failing tells whether what we observed of a server is bad enough to say so, and of what kind it is.
+// failing reports whether our observations of a server justify an accusation, and for which reason.
 func (s *serverState) failing() (Reason, bool) {
 	for reason := range s.evidence {
 		if s.evidence[reason].fails() {
@@ -135,6 +136,7 @@
 	return 0, false
 }
 
+// fails reports whether the evidence justifies an accusation.
 func (e *evidence) fails() bool {
 	return e.failures >= accuseFromFailures && e.failureAt > e.successAt &&
 		(e.streak >= accuseFromStreak || e.failures > accuseFromShare*(e.successes+e.failures))
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -16,90 +16,94 @@
 	"eiderway/testing/scenario"
 )
 
-// scene plays a text scenario of one Node. The notation:
+// scene runs a scenario file against one Node. Each line is a step or a check:
 //
-//	node [zone=N] [servers=N] [believe-all]   a new one, with servers 0 to N-1 in group 0
-//	peers A-B [zone=N]                   peers that are heard of from now on, each second
-//	wait SECONDS                         time passes, ticks included
-//	accuse PEER SERVER [times]           a peer accuses, so often in a tenth of a second
-//	retract PEER SERVER                  it takes that back
-//	leave PEER, restart PEER, silence PEER   it leaves, starts with a new incarnation, falls silent
-//	clock PEER SECONDS                   its clock is off by as much
-//	replay PEER                          its last record comes again
-//	good SERVER, bad SERVER              own evidence of a submission
-//	up SERVER, down SERVER               of a probe
-//	fail PEER SERVER                     a peer says that submissions to it fail
-//	forget SERVER, server SERVER         it is gone for good; it is there, new
-//	suspect SERVER, trust SERVER         it is suspected now; it is not
-//	weight PEER LOW HIGH                 what its accusations are worth
-//	tells KIND SERVER, silent            what it had told since the last such line
-//	answer SERVER SECONDS                a submission was answered after as long
-//	out SERVER, back SERVER              one leaves, and comes to an end that shows nothing
-//	list N, version PEER N, asks TIMES   our list's version, a peer's; the list was asked for as often so far
-//	duplicate PEER yes|no                two processes of its name are told of each other now
-//	under-way PEER, late PEER            it makes a heartbeat that comes with the line late
-//	alive N                              peers that are
+//	node [zone=N] [servers=N] [believe-all]   make the Node, with servers 0 to N-1 in group 0
+//	peers A-B [zone=N]                   these peers send a heartbeat now and every second
+//	wait SECONDS                         advance the time, with ticks
+//	accuse PEER SERVER [times]           the peer accuses the server, so often within a tenth of a second
+//	retract PEER SERVER                  the peer takes its accusation back
+//	leave PEER, restart PEER, silence PEER   the peer leaves, starts a new incarnation, stops its heartbeats
+//	clock PEER SECONDS                   set the skew of the peer's clock
+//	replay PEER                          the peer's last record arrives again
+//	good SERVER, bad SERVER              a submission of ours succeeds, fails
+//	up SERVER, down SERVER               a probe of ours succeeds, fails
+//	fail PEER SERVER                     the peer accuses the server of failing submissions
+//	forget SERVER, server SERVER         remove the server, add it
+//	suspect SERVER, trust SERVER         check that the server is suspected now, or is not
+//	weight PEER LOW HIGH                 check the range of the weight of the peer's accusations
+//	tells KIND SERVER, silent            check what the Node has published since the last tells, or that it is nothing
+//	answer SERVER SECONDS                a submission of ours is answered after so long
+//	out SERVER, back SERVER              a submission of ours starts, and ends without showing anything
+//	list N, version PEER N, asks TIMES   set the version of our list, of a peer's; check how often the list was requested
+//	duplicate PEER yes|no                check whether two processes of the peer's name are to be told of each other now
+//	under-way PEER, late PEER            the peer makes a heartbeat; it arrives at the line late
+//	alive N                              check the number of alive peers
 type scene struct {
-	t     *testing.T
-	where string
-	now   float64
-	node  *Node
-	peers map[int]*speaker
-	last  map[int]Record
-	until map[int]float64
-	told  []Record
-	out   map[int]float64
-	asked int // for the list
+	t              *testing.T
+	place          string // file and line of the current step
+	now            float64
+	node           *Node
+	peers          map[int]*testPeer
+	lastRecord     map[int]Record  // by peer
+	suspectedUntil map[int]float64 // by server
+	published      []Record        // by the Node since the last line tells, without heartbeats
+	started        map[int]float64 // by server: when its open submission was sent
+	listRequests   int
 }
 
-type speaker struct {
-	epoch, seq int64
-	zone       int
-	skew       float64
-	silenced   bool
-	underWay   Record
+// testPeer is a simulated peer of the Node.
+type testPeer struct {
+	incarnation, seq int64
+	zone             int
+	skew             float64
+	silenced         bool
+	delayedHeartbeat Record
 }
 
 func (s *scene) number(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
-	require.NoError(s.t, err, s.where)
+	require.NoError(s.t, err, s.place)
 	return v
 }
 
-func (s *scene) take(who int, r Record) {
+// receive passes a record of a peer to the Node.
+func (s *scene) receive(who int, r Record) {
 	p := s.peers[who]
-	require.NotNil(s.t, p, s.where)
+	require.NotNil(s.t, p, s.place)
 	p.seq++
-	r.Origin, r.Incarnation, r.Seq, r.At, r.Zone, r.Size = who, p.epoch, p.seq, s.now+p.skew, p.zone, recordBytes
-	s.last[who] = r
+	r.Origin, r.Incarnation, r.Seq, r.At, r.Zone, r.Size = who, p.incarnation, p.seq, s.now+p.skew, p.zone, recordBytes
+	s.lastRecord[who] = r
 	e := s.node.Receive(r, s.now)
 	if e.ListOutdated {
-		s.asked++
+		s.listRequests++
 	}
-	s.suspect(e.Suspicions)
+	s.noteSuspicions(e.Suspicions)
 }
 
-func (s *scene) suspect(all []Suspicion) {
+// noteSuspicions remembers until when servers are suspected.
+func (s *scene) noteSuspicions(all []Suspicion) {
 	for _, d := range all {
-		s.until[d.Server] = d.Until
+		s.suspectedUntil[d.Server] = d.Until
 	}
 }
 
-func (s *scene) pass(seconds float64) {
+// advance moves the time on in steps of 0.1 s.
+func (s *scene) advance(seconds float64) {
 	for end := s.now + seconds - 1e-9; s.now < end; {
 		s.now += 0.1
 		if tenth := int(math.Round(s.now * 10)); tenth%10 == 0 {
 			for _, who := range sortedKeys(s.peers) {
 				if !s.peers[who].silenced {
-					s.take(who, Record{Kind: Alive, Server: -1})
+					s.receive(who, Record{Kind: Alive, Server: -1})
 				}
 			}
 		}
 		e := s.node.Tick(s.now)
-		s.suspect(e.Suspicions)
+		s.noteSuspicions(e.Suspicions)
 		for _, r := range e.Own {
 			if r.Kind != Alive {
-				s.told = append(s.told, r)
+				s.published = append(s.published, r)
 			}
 			r.Size = recordBytes
 			s.node.Publish(r)
@@ -108,12 +112,13 @@
 	}
 }
 
-func (s *scene) play(f []string) {
-	arg := func(i int) int { return int(s.number(f[i])) }
-	switch f[0] {
+// play runs one line of a scenario.
+func (s *scene) play(words []string) {
+	arg := func(i int) int { return int(s.number(words[i])) }
+	switch words[0] {
 	case "node":
 		t, servers := Config{Seed: 1, Incarnation: 1, BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true}, 4
-		for _, o := range f[1:] {
+		for _, o := range words[1:] {
 			name, n, _ := strings.Cut(o, "=")
 			switch name {
 			case "zone":
@@ -123,7 +128,7 @@
 			case "believe-all":
 				t.BelieveAll = true
 			default:
-				require.Fail(s.t, "unknown option", s.where)
+				require.Fail(s.t, "unknown option", s.place)
 			}
 		}
 		s.node = New(t)
@@ -131,185 +136,186 @@
 			s.node.AddServer(i, 0)
 		}
 	case "peers":
-		from, to, _ := strings.Cut(f[1], "-")
+		from, to, _ := strings.Cut(words[1], "-")
 		zone := 0
-		if len(f) > 2 {
-			zone = int(s.number(strings.TrimPrefix(f[2], "zone=")))
+		if len(words) > 2 {
+			zone = int(s.number(strings.TrimPrefix(words[2], "zone=")))
 		}
 		for i := int(s.number(from)); i <= int(s.number(to)); i++ {
-			s.peers[i] = &speaker{epoch: 1, zone: zone}
-			s.take(i, Record{Kind: Alive, Server: -1})
+			s.peers[i] = &testPeer{incarnation: 1, zone: zone}
+			s.receive(i, Record{Kind: Alive, Server: -1})
 		}
 	case "wait":
-		s.pass(s.number(f[1]))
+		s.advance(s.number(words[1]))
 	case "accuse":
 		times := 1
-		if len(f) > 3 {
+		if len(words) > 3 {
 			times = arg(3)
 		}
 		for range times {
-			s.take(arg(1), Record{Kind: Accuse, Server: arg(2)})
+			s.receive(arg(1), Record{Kind: Accuse, Server: arg(2)})
 			s.now += 0.1 / float64(times)
 		}
 	case "retract":
-		s.take(arg(1), Record{Kind: Retract, Server: arg(2)})
+		s.receive(arg(1), Record{Kind: Retract, Server: arg(2)})
 	case "leave":
-		s.take(arg(1), Record{Kind: Leave, Server: -1})
+		s.receive(arg(1), Record{Kind: Leave, Server: -1})
 		s.peers[arg(1)].silenced = true
 	case "answer":
-		sent := s.now - s.number(f[2])
+		sent := s.now - s.number(words[2])
 		s.node.Started(arg(1), sent)
-		s.suspect(s.node.Observe(arg(1), true, false, sent, s.now))
+		s.noteSuspicions(s.node.Observe(arg(1), true, false, sent, s.now))
 	case "out":
-		s.out[arg(1)] = s.now
+		s.started[arg(1)] = s.now
 		s.node.Started(arg(1), s.now)
 	case "back":
-		s.node.Finished(arg(1), s.out[arg(1)])
+		s.node.Finished(arg(1), s.started[arg(1)])
 	case "list":
 		s.node.SetListVersion(int64(arg(1)))
 	case "version":
-		s.take(arg(1), Record{Kind: Alive, Server: -1, ListVersion: int64(arg(2))})
+		s.receive(arg(1), Record{Kind: Alive, Server: -1, ListVersion: int64(arg(2))})
 	case "asks":
-		require.Equal(s.t, arg(1), s.asked, s.where)
+		require.Equal(s.t, arg(1), s.listRequests, s.place)
 	case "duplicate":
-		require.Equal(s.t, f[2] == "yes", s.node.AllowDuplicateReport(arg(1), s.now), s.where)
-	case "under-way": // a heartbeat that comes later, by the line late
+		require.Equal(s.t, words[2] == "yes", s.node.AllowDuplicateReport(arg(1), s.now), s.place)
+	case "under-way":
 		p := s.peers[arg(1)]
 		p.seq++
-		p.underWay = Record{Kind: Alive, Server: -1, Origin: arg(1), Incarnation: p.epoch, Seq: p.seq, At: s.now, Zone: p.zone, Size: recordBytes}
+		p.delayedHeartbeat = Record{Kind: Alive, Server: -1, Origin: arg(1), Incarnation: p.incarnation, Seq: p.seq, At: s.now, Zone: p.zone, Size: recordBytes}
 	case "late":
-		s.suspect(s.node.Receive(s.peers[arg(1)].underWay, s.now).Suspicions)
+		s.noteSuspicions(s.node.Receive(s.peers[arg(1)].delayedHeartbeat, s.now).Suspicions)
 	case "silence":
 		s.peers[arg(1)].silenced = true
 	case "restart":
 		p := s.peers[arg(1)]
-		p.epoch, p.seq, p.silenced = p.epoch+1, 0, false
-		s.take(arg(1), Record{Kind: Alive, Server: -1})
+		p.incarnation, p.seq, p.silenced = p.incarnation+1, 0, false
+		s.receive(arg(1), Record{Kind: Alive, Server: -1})
 	case "clock":
-		s.peers[arg(1)].skew = s.number(f[2])
+		s.peers[arg(1)].skew = s.number(words[2])
 	case "replay":
-		s.suspect(s.node.Receive(s.last[arg(1)], s.now).Suspicions)
+		s.noteSuspicions(s.node.Receive(s.lastRecord[arg(1)], s.now).Suspicions)
 	case "fail":
-		s.take(arg(1), Record{Kind: Accuse, Server: arg(2), Reason: Failing})
+		s.receive(arg(1), Record{Kind: Accuse, Server: arg(2), Reason: Failing})
 	case "good", "bad", "up", "down":
-		s.suspect(s.node.Observe(arg(1), f[0] == "good" || f[0] == "up", f[0] == "up" || f[0] == "down", s.now, s.now))
+		s.noteSuspicions(s.node.Observe(arg(1), words[0] == "good" || words[0] == "up", words[0] == "up" || words[0] == "down", s.now, s.now))
 		s.now += 0.001
 	case "forget":
 		s.node.RemoveServer(arg(1))
-		delete(s.until, arg(1))
+		delete(s.suspectedUntil, arg(1))
 	case "server":
 		s.node.AddServer(arg(1), 0)
 	case "suspect":
-		require.Greater(s.t, s.until[arg(1)], s.now, s.where)
+		require.Greater(s.t, s.suspectedUntil[arg(1)], s.now, s.place)
 	case "trust":
-		require.LessOrEqual(s.t, s.until[arg(1)], s.now, s.where)
+		require.LessOrEqual(s.t, s.suspectedUntil[arg(1)], s.now, s.place)
 	case "weight":
 		w := s.node.weight(s.node.peerAt(arg(1)), s.now)
-		require.True(s.t, s.number(f[2]) <= w && w <= s.number(f[3]), "%s: it is %g", s.where, w)
+		require.True(s.t, s.number(words[2]) <= w && w <= s.number(words[3]), "%s: it is %g", s.place, w)
 	case "tells":
-		i := slices.IndexFunc(s.told, func(r Record) bool {
-			return map[string]Kind{"accuse": Accuse, "retract": Retract}[f[1]] == r.Kind && r.Server == arg(2)
+		i := slices.IndexFunc(s.published, func(r Record) bool {
+			return map[string]Kind{"accuse": Accuse, "retract": Retract}[words[1]] == r.Kind && r.Server == arg(2)
 		})
-		require.GreaterOrEqual(s.t, i, 0, "%s: %v", s.where, s.told)
-		s.told = nil
+		require.GreaterOrEqual(s.t, i, 0, "%s: %v", s.place, s.published)
+		s.published = nil
 	case "silent":
-		require.Empty(s.t, s.told, s.where)
+		require.Empty(s.t, s.published, s.place)
 	case "alive":
-		require.Equal(s.t, arg(1), s.node.AlivePeers(), s.where)
+		require.Equal(s.t, arg(1), s.node.AlivePeers(), s.place)
 	default:
-		require.Fail(s.t, "unknown line", s.where)
+		require.Fail(s.t, "unknown line", s.place)
 	}
 }
 
 func TestScenarios(t *testing.T) {
 	scenario.Each(t, func(t *testing.T, path string) {
-		s := &scene{t: t, now: 1e6, peers: map[int]*speaker{}, last: map[int]Record{}, until: map[int]float64{}, out: map[int]float64{}}
+		s := &scene{t: t, now: 1e6, peers: map[int]*testPeer{}, lastRecord: map[int]Record{}, suspectedUntil: map[int]float64{}, started: map[int]float64{}}
 		for _, line := range scenario.MustRead(t, path) {
-			s.where = line.Place
+			s.place = line.Place
 			s.play(line.Words)
 		}
 	})
 }
 
-// TestFewChangeNothing: whatever fewer peers than a quorum say, in whatever order, nothing is suspected; every suspicion
-// that many bring about ends; the state stays bounded.
-func TestFewChangeNothing(t *testing.T) {
+// TestBelowQuorumSuspectsNothing checks that no sequence of records of fewer peers than a quorum makes a server suspected, that
+// every suspicion ends, and that the state stays bounded.
+func TestBelowQuorumSuspectsNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(rt, "peers")
-		s := &scene{t: t, now: 1e6, peers: map[int]*speaker{}, last: map[int]Record{}, until: map[int]float64{}, out: map[int]float64{}}
+		s := &scene{t: t, now: 1e6, peers: map[int]*testPeer{}, lastRecord: map[int]Record{}, suspectedUntil: map[int]float64{}, started: map[int]float64{}}
 		s.play(strings.Fields("node servers=6"))
 		for i := range n {
 			s.play([]string{"peers", fmt.Sprintf("%d-%d", i, i), fmt.Sprintf("zone=%d", i%3)})
 		}
-		s.pass(6)
-		liars := int(s.node.Quorum()) - 1
+		s.advance(6)
+		accusers := int(s.node.Quorum()) - 1
 		for range rapid.IntRange(1, 150).Draw(rt, "steps") {
-			who, server := rapid.IntRange(0, min(liars, n)-1).Draw(rt, "who"), rapid.IntRange(0, 5).Draw(rt, "node")
+			who, server := rapid.IntRange(0, min(accusers, n)-1).Draw(rt, "who"), rapid.IntRange(0, 5).Draw(rt, "node")
 			switch rapid.IntRange(0, 6).Draw(rt, "what") {
 			case 0, 1, 2:
-				s.take(who, Record{Kind: Accuse, Server: server})
+				s.receive(who, Record{Kind: Accuse, Server: server})
 			case 3:
-				s.take(who, Record{Kind: Retract, Server: server})
+				s.receive(who, Record{Kind: Retract, Server: server})
 			case 4:
 				s.play([]string{"replay", strconv.Itoa(who)})
 			case 5:
-				s.pass(rapid.Float64Range(0, 2).Draw(rt, "wait"))
+				s.advance(rapid.Float64Range(0, 2).Draw(rt, "wait"))
 			case 6:
 				s.play([]string{"restart", strconv.Itoa(who)})
 			}
 			if s.node.Counts().Suspicions != 0 {
-				rt.Fatalf("%d of %d peers made a suspicion, a quorum is %g", liars, n, s.node.Quorum())
+				rt.Fatalf("%d of %d peers made a server suspected; the quorum is %g", accusers, n, s.node.Quorum())
 			}
 		}
 		for i := range n {
-			s.take(i, Record{Kind: Accuse, Server: 2})
+			s.receive(i, Record{Kind: Accuse, Server: 2})
 		}
-		s.pass(accusationLifetime + 0.2)
-		for server, until := range s.until {
+		s.advance(accusationLifetime + 0.2)
+		for server, until := range s.suspectedUntil {
 			if until > s.now {
-				rt.Fatalf("server %d is suspected for ever", server)
+				rt.Fatalf("server %d is still suspected after all accusations have expired", server)
 			}
 		}
 		for _, server := range s.node.servers {
 			if len(server.accusations) > 0 {
-				rt.Fatalf("accusations stay")
+				rt.Fatalf("accusations remain after their lifetime")
 			}
 		}
 		if len(s.node.queue) > 7*n+10 {
-			rt.Fatalf("%d records are passed on", len(s.node.queue))
+			rt.Fatalf("the queue has grown to %d records", len(s.node.queue))
 		}
 	})
 }
 
-var scale = flag.Int("instances", 100, "instances in virtual time")
+var instanceCount = flag.Int("instances", 100, "number of instances that TestHungServerAtScale simulates")
 
-// TestScale plays many instances under loss: a server hangs, everyone who asks it sees that now and then. With the record
-// of accusers and the quorum no healthy server is suspected though some peers accuse at random; without, many are.
-func TestScale(t *testing.T) {
+// TestHungServerAtScale simulates many instances under loss while a server hangs and some instances have a faulty network of their
+// own. With peer weights and the quorum nearly all instances suspect the hung server and none a healthy one; without them, healthy
+// servers are suspected.
+func TestHungServerAtScale(t *testing.T) {
 	type figures struct {
 		suspected, wrong int
 		half, all        float64
 		bytes            float64
 	}
-	run := func(plain bool, seed int64) (f figures, history []SimSuspicion) {
-		n := *scale
-		s := NewSim(n, Config{BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true, BelieveAll: plain}, seed, func(i int, t *Config) { t.Zone = i % 2 })
+	run := func(believeAll bool, seed int64) (f figures, history []SimSuspicion) {
+		n := *instanceCount
+		s := NewSim(n, Config{BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true, BelieveAll: believeAll}, seed, func(i int, t *Config) { t.Zone = i % 2 })
 		s.Loss = 0.3
 		for _, m := range s.Nodes {
 			for server := range 12 {
 				m.AddServer(server, server/4)
 			}
 		}
-		// A few are ill: their own network fails them now and then, whatever server they ask.
-		ill := max(1, n/50)
+		// The first few have a faulty network: their submissions to any server fail now and then.
+		faulty := max(1, n/50)
 		step := func(seconds float64, hung bool) {
 			for end := s.Now + seconds; s.Now < end; {
 				for i := range n {
 					for server := range 12 {
 						if (i+server+int(s.Now*5))%10 != 0 {
-							continue // each is asked twice in about a second
+							continue // an instance submits to each server about once in two seconds
 						}
-						s.Observe(i, server, !(hung && server == 5) && !(i < ill && server%3 == int(s.Now)%3))
+						s.Observe(i, server, !(hung && server == 5) && !(i < faulty && server%3 == int(s.Now)%3))
 					}
 				}
 				s.Run(0.2)
@@ -340,22 +346,22 @@
 		f.wrong = len(falseSuspicions(s.Suspicions, 5))
 		return f, s.Suspicions
 	}
-	ours, history := run(false, 1)
-	plain, _ := run(true, 1)
-	t.Logf("%d instances, 30%% loss, 2%% of them ill. With record and quorum: the hung server is suspected by %d, half after %.1f s, the last after %.1f s; "+
-		"%d suspicions of healthy servers; %.0f bytes a second an instance", *scale, ours.suspected, ours.half, ours.all, ours.wrong, ours.bytes)
-	t.Logf("Any accusation believed: by %d, half after %.1f s, the last after %.1f s; %d suspicions of healthy servers; %.0f bytes a second", plain.suspected, plain.half,
-		plain.all, plain.wrong, plain.bytes)
+	guarded, history := run(false, 1)
+	unguarded, _ := run(true, 1)
+	t.Logf("%d instances, 30%% loss, 2%% with a faulty network. With weights and quorum: %d suspect the hung server, half after %.1f s, the last after %.1f s; "+
+		"%d suspicions of healthy servers; %.0f bytes/s per instance", *instanceCount, guarded.suspected, guarded.half, guarded.all, guarded.wrong, guarded.bytes)
+	t.Logf("With any accusation believed: %d suspect it, half after %.1f s, the last after %.1f s; %d suspicions of healthy servers; %.0f bytes/s", unguarded.suspected, unguarded.half,
+		unguarded.all, unguarded.wrong, unguarded.bytes)
 	again, same := run(false, 1)
-	require.Equal(t, ours, again)
-	require.Equal(t, history, same, "one seed, one history")
-	require.GreaterOrEqual(t, ours.suspected, *scale*9/10)
-	require.Zero(t, ours.wrong)
-	require.Greater(t, plain.wrong, 0, "the defence is needed")
-	require.Less(t, ours.bytes, 8192.0*9/8, "of eight seconds, and a second's worth at once")
+	require.Equal(t, guarded, again)
+	require.Equal(t, history, same, "the same seed gives the same history")
+	require.GreaterOrEqual(t, guarded.suspected, *instanceCount*9/10)
+	require.Zero(t, guarded.wrong)
+	require.Greater(t, unguarded.wrong, 0, "without weights and quorum healthy servers are suspected")
+	require.Less(t, guarded.bytes, 8192.0*9/8, "eight seconds at the limit, and one second's worth at once")
 }
 
-// falseSuspicions are those of other servers than one.
+// falseSuspicions returns the new suspicions of servers other than the given one.
 func falseSuspicions(all []SimSuspicion, server float64) (out []SimSuspicion) {
 	for _, d := range all {
 		if float64(d.Server) != server && d.ProbeNow {
@@ -365,31 +371,33 @@
 	return out
 }
 
-// TestPartition: halves that can't hear each other forget each other, and find each other again through the seeds.
-func TestPartition(t *testing.T) {
+// TestPartitionHealsThroughSeeds checks that the halves of a partitioned network forget each other, and find each other again
+// through the seeds.
+func TestPartitionHealsThroughSeeds(t *testing.T) {
 	s := NewSim(16, Config{BytesPerSecond: 8192, DatagramBytes: 1100}, 3, nil)
 	s.Run(20)
-	live := func() (least, most int) {
+	alivePeers := func() (least, most int) {
 		least = 1 << 30
 		for _, m := range s.Nodes {
 			least, most = min(least, m.AlivePeers()), max(most, m.AlivePeers())
 		}
 		return least, most
 	}
-	least, _ := live()
+	least, _ := alivePeers()
 	require.Equal(t, 15, least)
 	s.Cut = func(from, to int) bool { return from%2 != to%2 }
 	s.Run(40)
-	_, most := live()
+	_, most := alivePeers()
 	require.Equal(t, 7, most)
 	s.Cut = nil
 	s.Run(60)
-	least, _ = live()
+	least, _ = alivePeers()
 	require.Equal(t, 15, least)
 }
 
-// TestLiar: two runs of one seed, with and without a member that accuses everything all the time, give the same suspicions.
-func TestLiar(t *testing.T) {
+// TestSingleAccuserSuspectsNothing checks that an instance that accuses every server all the time makes no other instance suspect
+// one.
+func TestSingleAccuserSuspectsNothing(t *testing.T) {
 	run := func(lies bool) []SimSuspicion {
 		s := NewSim(20, Config{BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true}, 9, nil)
 		for _, m := range s.Nodes {
@@ -416,8 +424,8 @@
 	require.Empty(t, run(true))
 }
 
-// TestLeaveGoesFirst: in the one round that an instance that goes has left, every datagram says so, whatever else there is
-// to tell.
+// TestLeaveGoesFirst checks that every datagram of the last round of an instance starts with its leave record, however many other
+// records are queued.
 func TestLeaveGoesFirst(t *testing.T) {
 	m := New(Config{Seed: 1, Incarnation: 1, BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true})
 	for who := range 19 {
@@ -437,14 +445,14 @@
 	}
 }
 
-var hour = flag.Float64("hour", 120, "s of random faults in virtual time")
+var faultSeconds = flag.Float64("hour", 120, "seconds of random faults in virtual time that TestRandomFaults runs")
 
-// TestHour plays random faults: servers hang or fail, instances have a bad network of their own, some lie, a zone is cut. No
-// healthy server is ever suspected by an instance that reaches it, servers that are ill for long are, and no suspicion begins
-// or goes on longer after its fault than accusations last and are on their way.
-func TestHour(t *testing.T) {
+// TestRandomFaults simulates servers that hang or fail, instances with a faulty network, instances that accuse falsely, and zones
+// cut off from each other. It checks that no instance suspects a healthy server that it reaches, that servers with long faults are
+// suspected, and that no suspicion begins or is renewed later after a fault than accusations last and take to spread.
+func TestRandomFaults(t *testing.T) {
 	const n, servers, step = 20, 12, 0.2
-	const onWay = 2.0 // s until an accusation has come to all, passed on by those who lose one in ten
+	const spread = 2.0 // s until an accusation has reached all instances at a loss of one datagram in ten
 	s := NewSim(n, Config{BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true}, 5, func(i int, t *Config) { t.Zone = i % 2 })
 	s.Loss = 0.1
 	for _, m := range s.Nodes {
@@ -454,9 +462,9 @@
 	}
 	rng := rand.New(rand.NewSource(7))
 	type fault struct{ from, until, share float64 }
-	sick := make([]fault, servers) // a share of what is submitted to it fails
-	ill := make([]fault, n)        // a share of what it submits anywhere fails
-	liar := make([]fault, n)
+	serverFaults := make([]fault, servers) // this share of the submissions to the server fails
+	instanceFaults := make([]fault, n)     // this share of the submissions of the instance fails
+	falseAccusers := make([]fault, n)
 	cut := fault{}
 	on := func(f fault) bool { return s.Now >= f.from && s.Now < f.until }
 	begin := func(f *fault, most, share float64) bool {
@@ -467,19 +475,19 @@
 		return free
 	}
 	s.Cut = func(from, to int) bool { return on(cut) && from%2 != to%2 }
-	long, seen := 0, map[[2]float64]bool{}
+	longFaults, suspected := 0, map[[2]float64]bool{}
 	s.Run(8)
-	for end := s.Now + *hour; s.Now < end; {
+	for end := s.Now + *faultSeconds; s.Now < end; {
 		switch {
 		case rng.Float64() < 0.02:
-			f := &sick[rng.Intn(servers)]
+			f := &serverFaults[rng.Intn(servers)]
 			if begin(f, 10, min(1, 0.5+rng.Float64())) && f.share == 1 && f.until-f.from > 5 {
-				long++ // and fails all that is submitted to it
+				longFaults++ // a long fault in which every submission to the server fails
 			}
 		case rng.Float64() < 0.02:
-			begin(&ill[rng.Intn(n)], 20, 0.9*rng.Float64())
+			begin(&instanceFaults[rng.Intn(n)], 20, 0.9*rng.Float64())
 		case rng.Float64() < 0.02:
-			begin(&liar[rng.Intn(3)], 20, 1) // three of 20 are below the quorum
+			begin(&falseAccusers[rng.Intn(3)], 20, 1) // three of 20 instances are below the quorum
 		case rng.Float64() < 0.005:
 			begin(&cut, 10, 1)
 		}
@@ -487,30 +495,30 @@
 		for i := range n {
 			for server := range servers {
 				if rng.Float64() < 0.25 {
-					bad := on(sick[server]) && rng.Float64() < sick[server].share || on(ill[i]) && rng.Float64() < ill[i].share ||
+					bad := on(serverFaults[server]) && rng.Float64() < serverFaults[server].share || on(instanceFaults[i]) && rng.Float64() < instanceFaults[i].share ||
 						on(cut) && i%2 != server%2
-					s.Observe(i, server, !bad && !(on(liar[i]) && server%3 == int(s.Now)%3))
+					s.Observe(i, server, !bad && !(on(falseAccusers[i]) && server%3 == int(s.Now)%3))
 				}
 			}
 		}
 		s.Run(step)
 		for _, d := range s.Suspicions[before:] {
-			if f := sick[d.Server]; d.Until > d.At {
+			if f := serverFaults[d.Server]; d.Until > d.At {
 				if f.share == 1 && f.until-f.from > 5 && d.At < f.until {
-					seen[[2]float64{float64(d.Server), f.from}] = true
+					suspected[[2]float64{float64(d.Server), f.from}] = true
 				}
-				if d.Node%2 != d.Server%2 && d.At < cut.until+accusationLifetime+onWay && d.At >= cut.from {
-					continue // this one can't reach it
+				if d.Node%2 != d.Server%2 && d.At < cut.until+accusationLifetime+spread && d.At >= cut.from {
+					continue // this instance can't reach the server
 				}
-				if own := ill[d.Node]; own.share > 0.5 && d.At < own.until+accusationLifetime+onWay && d.At >= own.from {
-					continue // nor this one, mostly
+				if own := instanceFaults[d.Node]; own.share > 0.5 && d.At < own.until+accusationLifetime+spread && d.At >= own.from {
+					continue // most submissions of this instance fail
 				}
-				require.Less(t, d.At, f.until+accusationLifetime+onWay, "instance %d suspects server %d, healthy since %.1f s", d.Node, d.Server, d.At-f.until)
+				require.Less(t, d.At, f.until+accusationLifetime+spread, "instance %d suspects server %d, which has been healthy for %.1f s", d.Node, d.Server, d.At-f.until)
 				require.GreaterOrEqual(t, d.At, f.from)
 			}
 		}
 	}
-	t.Logf("%.0f s, %d instances: %d servers failed all for over 5 s, %d of them were suspected by somebody; %d suspicions, none of a healthy server",
-		*hour, n, long, len(seen), len(s.Suspicions))
-	require.Greater(t, 3*len(seen), long, "it is no silence")
+	t.Logf("%.0f s, %d instances: %d servers failed every submission for over 5 s, %d of them were suspected; %d suspicions, none of a healthy server",
+		*faultSeconds, n, longFaults, len(suspected), len(s.Suspicions))
+	require.Greater(t, 3*len(suspected), longFaults, "servers with long faults are suspected")
 }
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -1,7 +1,7 @@
 package gossip
 
-// This file owns the steps of a Node and the records of its own. It must never take the servers it accuses for ill when the
-// trouble is its own.
+// This file holds the steps of a Node and makes its own records. It never accuses servers when the fault is probably that of
+// this instance.
 
 import (
 	"math"
@@ -9,15 +9,15 @@
 	"slices"
 )
 
-// Node is one instance's side of the gossip. What it holds: peers until gonePeerRetention after they left, servers until
-// RemoveServer, queued records until they have been passed on.
+// Node is one instance that takes part in the gossip. It keeps peers until gonePeerRetention after their end, servers until
+// RemoveServer, and queued records until they have been passed on often enough.
 type Node struct {
 	config           Config
 	rng              *rand.Rand
 	peers            []*peer
 	alivePeers       int
 	servers          map[int]*serverState
-	serverOrder      []int // as first met
+	serverOrder      []int // in order of AddServer
 	queue            []queuedRecord
 	freedIndices     []int
 	seq              int64
@@ -28,15 +28,15 @@
 	creditAt         float64
 	leaving          bool
 	notes            []string
-	requestedVersion int64   // the version of the list that was asked for last
-	nextListRequest  float64 // not again before
-	tickedAt         float64 // the last Tick
-	usualLatency     float64 // s, latency of submissions, all servers together; 0: none was answered yet
-	urgent           bool    // an accusation of ours, or one that came, has not been sent yet
+	requestedVersion int64   // newest version of the list that was requested
+	nextListRequest  float64 // earliest time of the next list request
+	tickedAt         float64 // time of the last Tick
+	usualLatency     float64 // s, moving average over the submissions to all servers; 0 until one was answered
+	urgent           bool    // an accusation, our own or a received one, waits to be sent
 	counts           Counts
 }
 
-// Counts tell what a Node has done. Operators see them under their first names.
+// Counts counts what a Node has done. The JSON keys are those that operators know.
 type Counts struct {
 	Received    int64 `json:"Taken"`
 	Accusations int64 `json:"Voices"`
@@ -47,42 +47,42 @@
 	Out int64 // bytes
 }
 
-// serverState is a member of the cluster as this instance observes it and hears of it.
+// serverState holds what this instance has observed of a server and what peers accuse it of.
 type serverState struct {
 	id, group      int
-	evidence       [2]evidence // own evidence: of whether it answers, and of what is submitted to it
+	evidence       [2]evidence // own observations, by Reason
 	accusedByUs    bool
 	accusedAt      float64
-	accusations    map[int]accusation // by peer; emptied as they end
+	accusations    map[int]accusation // by peer; entries go when they expire
 	suspected      bool
 	suspectedUntil float64
-	inFlight       []submission // submissions without an end yet, oldest first; emptied by their ends, maxInFlight at most
+	inFlight       []submission // submissions that have not ended, oldest first; at most maxInFlight
 }
 
-// New makes a Node that knows nobody.
-func New(t Config) *Node {
-	return &Node{config: t, rng: rand.New(rand.NewSource(t.Seed)), servers: map[int]*serverState{}, byteCredit: t.BytesPerSecond,
+// New makes a Node without peers and servers.
+func New(config Config) *Node {
+	return &Node{config: config, rng: rand.New(rand.NewSource(config.Seed)), servers: map[int]*serverState{}, byteCredit: config.BytesPerSecond,
 		heartbeatAt: math.Inf(-1), roundAt: math.Inf(-1), creditAt: math.Inf(1)}
 }
 
-// Counts tells the counts.
+// Counts returns the counts so far.
 func (n *Node) Counts() Counts { return n.counts }
 
-// AddServer tells a member of the list, new or moved.
+// AddServer adds a server of the member list, or moves a known one to another group.
 func (n *Node) AddServer(id, group int) {
 	if server := n.servers[id]; server != nil {
 		server.group = group
 		return
 	}
-	none := evidence{successAt: math.Inf(-1), failureAt: math.Inf(-1)}
-	n.servers[id] = &serverState{id: id, group: group, accusations: map[int]accusation{}, evidence: [2]evidence{none, none}}
+	empty := evidence{successAt: math.Inf(-1), failureAt: math.Inf(-1)}
+	n.servers[id] = &serverState{id: id, group: group, accusations: map[int]accusation{}, evidence: [2]evidence{empty, empty}}
 	n.serverOrder = append(n.serverOrder, id)
 }
 
-// RemoveServer ends a server: its index may stand for another one, of which nothing is suspected.
+// RemoveServer forgets a server. The host may then give its index to another server, which starts without suspicion.
 func (n *Node) RemoveServer(id int) {
 	delete(n.servers, id)
-	n.serverOrder = slices.DeleteFunc(n.serverOrder, func(n int) bool { return n == id })
+	n.serverOrder = slices.DeleteFunc(n.serverOrder, func(other int) bool { return other == id })
 	for _, p := range n.peers {
 		if p != nil {
 			delete(p.accused, id)
@@ -90,8 +90,8 @@
 	}
 }
 
-// SetListVersion tells the version of our member list.
-func (n *Node) SetListVersion(rev int64) { n.listVersion = rev }
+// SetListVersion sets the version of our member list.
+func (n *Node) SetListVersion(version int64) { n.listVersion = version }
 
 func sortedKeys[V any](m map[int]V) []int {
 	keys := make([]int, 0, len(m))
@@ -102,8 +102,8 @@
 	return keys
 }
 
-// Tick does what is due: it ends accusations and peers, and tells what we observed. Records of our own come back signed
-// through Publish before Round is asked for what to send.
+// Tick expires accusations and peers, and makes the records about what this instance observed. The host must return those signed
+// through Publish before it calls Round.
 func (n *Node) Tick(now float64) (e Effects) {
 	n.expirePeers(now)
 	if n.tickedAt == 0 {
@@ -134,12 +134,12 @@
 		}
 	}
 	n.tickedAt = now
-	// When half of the servers fail us, the trouble is ours.
-	ownTrouble := accusing >= minAccused && float64(accusing) > maxAccusedShare*float64(len(n.servers))
+	// When more than half of the servers fail us, the fault is probably our own.
+	faultIsOurs := accusing >= minAccused && float64(accusing) > maxAccusedShare*float64(len(n.servers))
 	for _, id := range n.serverOrder {
 		server := n.servers[id]
 		reason, failing := server.failing()
-		failing = failing && !ownTrouble && n.config.Accuse
+		failing = failing && !faultIsOurs && n.config.Accuse
 		switch {
 		case failing && (!server.accusedByUs || now-server.accusedAt >= repeatAccusationEvery):
 			n.urgent = n.urgent || !server.accusedByUs
@@ -164,16 +164,16 @@
 	return r
 }
 
-// Publish takes back a record of our own, signed.
+// Publish queues a signed record of our own for sending.
 func (n *Node) Publish(r Record) { n.enqueue(r) }
 
-// Round tells what to send now, if a round is due.
+// Round returns the datagrams to send now, or none if no round is due.
 func (n *Node) Round(now float64) []Send {
-	every := roundEvery
+	interval := roundEvery
 	if n.urgent {
-		every = urgentRoundEvery
+		interval = urgentRoundEvery
 	}
-	if now-n.roundAt < every*0.99 {
+	if now-n.roundAt < interval*0.99 {
 		return nil
 	}
 	n.urgent = false
@@ -184,7 +184,7 @@
 	return n.chooseSends(now)
 }
 
-// LeaveRecord makes the record by which this instance leaves.
+// LeaveRecord makes the record that announces the end of this instance, and stops its heartbeats.
 func (n *Node) LeaveRecord(now float64) Record {
 	n.leaving = true
 	return n.newRecord(Record{Kind: Leave, Server: -1}, now)
--- a/gossip/peers.go
+++ b/gossip/peers.go
@@ -5,37 +5,37 @@
 	"slices"
 )
 
-// This file owns the peers: who is alive, by their own heartbeats, and which records go to whom. It must never take a
-// peer's word about another peer, nor send more than its bytes.
+// This file keeps the peers: which are alive, judged by their own heartbeats, and which records go to which. It never believes a
+// peer about another peer, and never sends more than BytesPerSecond.
 
-// peer is another instance. Its entry goes gonePeerRetention after its last heartbeat.
+// peer is another instance. It is forgotten gonePeerRetention after its last heartbeat.
 type peer struct {
 	incarnation         int64
-	firstHeard          float64 // when it was first heard of in this incarnation
-	heard               float64 // the newest heartbeat
+	firstHeard          float64 // time of the first record of this incarnation, or of the first heartbeat after it was gone
+	heard               float64 // time of the newest heartbeat
 	zone                int
 	listVersion         int64
-	clockSkew           float64 // s its clock is ahead of ours, the least seen: delays only make it look behind
-	known               bool
-	gone                bool
-	left                bool    // by its own record: nothing more of this incarnation comes from it
-	lostWeight          float64 // by wrong accusations
+	clockSkew           float64 // s its clock is ahead of ours; the greatest value seen, since delays only make the clock look behind
+	known               bool    // it has sent a heartbeat
+	gone                bool    // its heartbeats ceased, or it left
+	left                bool    // it announced its end: further records of this incarnation are ignored
+	lostWeight          float64 // by refuted accusations, at lostWeightAt
 	lostWeightAt        float64
-	confirmed           int
-	accused             map[int]float64 // servers it accuses, until when; emptied as accusations expire
+	confirmed           int             // accusations that our own observations confirmed
+	accused             map[int]float64 // servers it accuses, with the time at which each accusation expires
 	replay              replayWindow
-	duplicateQuietUntil float64 // until when two processes of its name are not told of each other again
+	duplicateQuietUntil float64 // until then, two processes of its name are not told of each other again
 }
 
-// replayWindow remembers which of the last numbers came: replays and repeats do not get through, late ones do.
+// replayWindow remembers which of the last 64 numbers were received: it rejects replays and repeats, and accepts late records.
 type replayWindow struct {
 	newest int64
 	seen   uint64
 }
 
-// accept tells whether a number is new.
-func (w *replayWindow) accept(n int64) bool {
-	switch d := n - w.newest; {
+// accept reports whether a number is new, and remembers it.
+func (w *replayWindow) accept(number int64) bool {
+	switch d := number - w.newest; {
 	case d > 0:
 		if d >= 64 {
 			w.seen = 0
@@ -43,7 +43,7 @@
 			w.seen <<= uint(d)
 		}
 		w.seen |= 1
-		w.newest = n
+		w.newest = number
 		return true
 	case d <= -64:
 		return false
@@ -57,22 +57,24 @@
 	}
 }
 
-// queuedRecord is a record that is being passed on.
+// queuedRecord is a record that waits to be sent.
 type queuedRecord struct {
 	Record
-	remaining int // times it is passed on yet
-	priority  int // what is urgent first
+	remaining int // times that it is still to be sent
+	priority  int // lower goes first
 }
 
-// heartbeatInterval is the time between heartbeats: as many peers as there are, theirs fit in a share of the bytes.
+// heartbeatInterval is the time between heartbeats. It grows with the number of peers, so that passing all heartbeats on takes no
+// more than heartbeatShare of the bytes.
 func (n *Node) heartbeatInterval() float64 {
 	return max(heartbeatEvery, float64(n.alivePeers)*heartbeatRetransmits*heartbeatBytes/(n.config.BytesPerSecond*heartbeatShare))
 }
 
-// AlivePeers tells how many peers are alive.
+// AlivePeers returns the number of peers that are alive.
 func (n *Node) AlivePeers() int { return n.alivePeers }
 
-// admit takes a record's place in its origin's history. false: old, repeated, or of an earlier life.
+// admit returns the origin of a record, and false if the record is outdated, repeated, of an earlier incarnation, of a clock
+// that is too far off, or of an index out of range.
 func (n *Node) admit(r *Record, now float64) (*peer, bool) {
 	if r.Origin < 0 || r.Origin >= maxPeers || math.IsNaN(r.At) {
 		return nil, false
@@ -90,16 +92,16 @@
 		n.counts.Skewed++
 		return nil, false
 	case r.Incarnation < p.incarnation, r.Incarnation == p.incarnation && p.left:
-		// A heartbeat that others still pass on would make it alive again, after it has left.
+		// Otherwise a heartbeat that others still pass on would make a peer that has left look alive.
 		n.counts.Old++
 		return nil, false
-	case r.Incarnation > p.incarnation: // it started anew, and has all to prove again but its record
+	case r.Incarnation > p.incarnation: // it restarted: only the weight that it lost and its confirmed accusations stay
 		n.dropAccusations(p)
 		*p = peer{incarnation: r.Incarnation, firstHeard: now, lostWeight: p.lostWeight, lostWeightAt: p.lostWeightAt, confirmed: p.confirmed, accused: map[int]float64{},
 			clockSkew: r.At - now}
 		p.replay.newest = r.Seq - 1
 	}
-	// Its clock may be off, but by the same all the time: what is older than that allows is a replay.
+	// Its clock may be off, but always by about as much: a record that is older than that allows is a replay.
 	if r.At-now < p.clockSkew-maxRecordAge {
 		n.counts.Old++
 		return nil, false
@@ -112,7 +114,7 @@
 	return p, true
 }
 
-// markAlive takes a heartbeat.
+// markAlive records a heartbeat.
 func (n *Node) markAlive(p *peer, r *Record, now float64) {
 	if !p.known || p.gone {
 		p.firstHeard = now
@@ -122,6 +124,7 @@
 	p.heard, p.zone, p.listVersion = now, r.Zone, r.ListVersion
 }
 
+// markGone records the end of a peer and drops its accusations.
 func (n *Node) markGone(p *peer) {
 	if p.known && !p.gone {
 		p.gone = true
@@ -130,14 +133,14 @@
 	}
 }
 
-// expirePeers ends peers that were not heard of, and forgets those gone for long.
+// expirePeers marks peers without recent heartbeats as gone, and forgets those that have been gone for long.
 func (n *Node) expirePeers(now float64) {
-	lost := heartbeatsMissed * n.heartbeatInterval()
+	timeout := heartbeatsMissed * n.heartbeatInterval()
 	for i, p := range n.peers {
 		if p == nil {
 			continue
 		}
-		if p.known && !p.gone && now-p.heard > lost {
+		if p.known && !p.gone && now-p.heard > timeout {
 			n.markGone(p)
 		}
 		if (p.gone || !p.known) && now-p.heard > gonePeerRetention && now-p.firstHeard > gonePeerRetention {
@@ -147,14 +150,14 @@
 	}
 }
 
-// FreedIndices tells the indices that the host may give to others, once.
+// FreedIndices returns the indices of the peers forgotten since the last call; the host may give them to other instances.
 func (n *Node) FreedIndices() []int {
-	out := n.freedIndices
+	freed := n.freedIndices
 	n.freedIndices = nil
-	return out
+	return freed
 }
 
-// enqueue has a record passed on.
+// enqueue queues a record for sending.
 func (n *Node) enqueue(r Record) {
 	remaining := int(math.Ceil(retransmitFactor * math.Log2(float64(n.alivePeers)+2)))
 	priority := 1
@@ -162,9 +165,9 @@
 	case Alive:
 		priority, remaining = 2, heartbeatRetransmits
 	case Leave:
-		priority = 0 // its origin has one round left to tell it in, however much else there is to tell
+		priority = 0 // its origin sends only one more round, however full its queue is
 	}
-	// A newer heartbeat of the same peer, or a newer record on the same server, takes the place of the older.
+	// A newer heartbeat of the same peer, or a newer record about the same server, replaces the older one.
 	if i := slices.IndexFunc(n.queue, func(x queuedRecord) bool {
 		return x.Origin == r.Origin && (x.Kind == Alive) == (r.Kind == Alive) && x.Server == r.Server
 	}); i >= 0 {
@@ -181,7 +184,7 @@
 	n.queue = append(n.queue, queuedRecord{r, remaining, priority})
 }
 
-// chooseSends picks peers by chance and gives them what fits: what is urgent and was sent least goes first.
+// chooseSends picks random peers and fills a datagram for each: urgent records first, then those that were sent least.
 func (n *Node) chooseSends(now float64) (sends []Send) {
 	n.byteCredit = min(n.config.BytesPerSecond, n.byteCredit+n.config.BytesPerSecond*max(0, now-n.creditAt))
 	n.creditAt = now
@@ -195,8 +198,8 @@
 	if len(targets) > fanout {
 		targets = targets[:fanout]
 	}
-	// Alone, or nearly, it asks the seeds again and again; else now and then, since halves that could not hear each
-	// other have forgotten each other.
+	// An instance with fewer peers than fanout contacts the seeds often. Others do it now and then, since the halves of a
+	// partitioned network forget each other and only find each other again through the seeds.
 	if every := seedEvery; n.rng.Float64() < roundEvery/every || len(targets) < fanout && n.rng.Float64() < roundEvery/heartbeatEvery {
 		targets = append(targets, SeedPeer)
 	}
@@ -237,5 +240,5 @@
 	return sends
 }
 
-// EnvelopeBytes is what a datagram takes beside its records, in bytes: sender, incarnation, counter, time and signature.
-const EnvelopeBytes = 8 + 8 + 8 + 8 + 4 + 64 + 28 // and the headers of IP and UDP
+// EnvelopeBytes is the size of a datagram without its records: sender, incarnation, counter, time, signature, and the headers.
+const EnvelopeBytes = 8 + 8 + 8 + 8 + 4 + 64 + 28 // 28: headers of IP and UDP
--- a/gossip/sim.go
+++ b/gossip/sim.go
@@ -5,26 +5,26 @@
 	"math/rand"
 )
 
-// This file owns the play of many Nodes in virtual time: one seed, one history. It must never look into a Node but
-// through its calls.
+// This file simulates many Nodes in virtual time. The same seed gives the same history. It uses only the exported methods of
+// Node.
 
-// Sim plays instances that lose datagrams among each other.
+// Sim simulates instances that exchange datagrams over a network with delay and loss.
 type Sim struct {
 	Now        float64
 	Nodes      []*Node
 	Loss       float64
-	Delay      float64                   // s, at most
-	Cut        func(from, to int) bool   // datagrams that never come
-	Forge      func(from int, r *Record) // what a liar makes of its own records
-	Suspicions []SimSuspicion            // as they came
+	Delay      float64                   // s, the longest
+	Cut        func(from, to int) bool   // whether datagrams between the two are lost
+	Forge      func(from int, r *Record) // changes an instance's own records before they are published
+	Suspicions []SimSuspicion            // in order of time
 	Bytes      int64
 	rng        *rand.Rand
 	queue      deliveries
-	set        int
-	seeds      int
+	sequence   int // datagrams sent; breaks ties between deliveries at the same time
+	seeds      int // the first so many instances are seeds
 }
 
-// SimSuspicion is a suspicion of an instance.
+// SimSuspicion is a suspicion together with the instance that holds it.
 type SimSuspicion struct {
 	At   float64
 	Node int
@@ -32,18 +32,18 @@
 }
 
 type delivery struct {
-	at   float64
-	set  int
-	to   int
-	from int
-	r    []Record
+	at       float64
+	sequence int
+	to       int
+	from     int
+	records  []Record
 }
 
 type deliveries []delivery
 
 func (d deliveries) Len() int { return len(d) }
 func (d deliveries) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].set < d[j].set
+	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].sequence < d[j].sequence
 }
 func (d deliveries) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
 func (d *deliveries) Push(x any)   { *d = append(*d, x.(delivery)) }
@@ -54,59 +54,59 @@
 	return x
 }
 
-// recordBytes is about what a record takes, signed.
+// recordBytes is the approximate size of a signed record.
 const recordBytes = 130
 
-// NewSim makes instances of a given configuration, each of which takes its peers by their number; change may alter some.
-func NewSim(n int, terms Config, seed int64, change func(i int, t *Config)) *Sim {
+// NewSim makes n instances of the given configuration; customize, if not nil, may alter the one of each.
+func NewSim(n int, config Config, seed int64, customize func(i int, c *Config)) *Sim {
 	s := &Sim{Now: 1e6, rng: rand.New(rand.NewSource(seed)), Delay: 0.05, seeds: 3}
 	for i := range n {
-		t := terms
-		t.Seed, t.Incarnation = seed+int64(i), 1
-		if change != nil {
-			change(i, &t)
+		c := config
+		c.Seed, c.Incarnation = seed+int64(i), 1
+		if customize != nil {
+			customize(i, &c)
 		}
-		s.Nodes = append(s.Nodes, New(t))
+		s.Nodes = append(s.Nodes, New(c))
 	}
 	return s
 }
 
-// Run plays for a time. Each instance's ticks are spread over the interval.
+// Run advances virtual time by so many seconds; every instance ticks at each step.
 func (s *Sim) Run(seconds float64) {
-	const every = 0.1
-	for end := s.Now + seconds; s.Now < end; s.Now += every {
+	const step = 0.1
+	for end := s.Now + seconds; s.Now < end; s.Now += step {
 		for len(s.queue) > 0 && s.queue[0].at <= s.Now {
 			d := heap.Pop(&s.queue).(delivery)
-			for _, r := range d.r {
+			for _, r := range d.records {
 				if r.Origin != d.to {
-					s.note(d.to, s.Nodes[d.to].Receive(r, s.Now).Suspicions)
+					s.record(d.to, s.Nodes[d.to].Receive(r, s.Now).Suspicions)
 				}
 			}
 		}
-		for i, m := range s.Nodes {
-			e := m.Tick(s.Now)
-			s.note(i, e.Suspicions)
-			for _, r := range e.Own {
+		for i, node := range s.Nodes {
+			effects := node.Tick(s.Now)
+			s.record(i, effects.Suspicions)
+			for _, r := range effects.Own {
 				r.Size = recordBytes
 				if s.Forge != nil {
 					s.Forge(i, &r)
 				}
-				m.Publish(r)
+				node.Publish(r)
 			}
-			for _, send := range m.Round(s.Now) {
+			for _, send := range node.Round(s.Now) {
 				s.send(i, send)
 			}
 		}
 	}
 }
 
-// Observe tells an instance what it observed of a server.
+// Observe gives an instance the result of a submission to a server.
 func (s *Sim) Observe(i, server int, good bool) {
-	s.note(i, s.Nodes[i].Observe(server, good, false, s.Now, s.Now))
+	s.record(i, s.Nodes[i].Observe(server, good, false, s.Now, s.Now))
 }
 
-func (s *Sim) note(i int, all []Suspicion) {
-	for _, d := range all {
+func (s *Sim) record(i int, suspicions []Suspicion) {
+	for _, d := range suspicions {
 		s.Suspicions = append(s.Suspicions, SimSuspicion{s.Now, i, d})
 	}
 }
@@ -129,6 +129,6 @@
 	if to == from || s.rng.Float64() < s.Loss || s.Cut != nil && s.Cut(from, to) {
 		return
 	}
-	s.set++
-	heap.Push(&s.queue, delivery{s.Now + s.rng.Float64()*s.Delay, s.set, to, from, records})
+	s.sequence++
+	heap.Push(&s.queue, delivery{s.Now + s.rng.Float64()*s.Delay, s.sequence, to, from, records})
 }
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -1,21 +1,21 @@
 package gossip
 
-// This file owns what operators are shown of peers and servers.
+// This file reports the state of peers and servers to operators.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// ServerStatus is what is believed of a server, and why.
+// ServerStatus says whether a server is suspected, and on what evidence.
 type ServerStatus struct {
 	Server    int     `json:"-"`
 	Suspected bool    `json:"doubted"`
-	Good, Bad float64 // own evidence, decayed
+	Good, Bad float64 // observations of this instance, decayed
 	Accusers  []int   `json:"-"`
 }
 
-// PeerStatus is what is known of a peer.
+// PeerStatus describes a peer as this instance knows it.
 type PeerStatus struct {
 	Index       int     `json:"-"`
 	Gone        bool    `json:"gone"`
@@ -29,7 +29,7 @@
 	Accuses     int     `json:"accuses"`
 }
 
-// Peers tells of all peers that are known.
+// Peers returns the status of every peer that has sent a heartbeat.
 func (n *Node) Peers(now float64) (out []PeerStatus) {
 	for i, p := range n.peers {
 		if p != nil && p.known {
@@ -39,7 +39,7 @@
 	return out
 }
 
-// Servers tells of all servers of which there is something to tell.
+// Servers returns the status of every server that is suspected, is accused or has failed this instance, sorted by index.
 func (n *Node) Servers(now float64) (out []ServerStatus) {
 	for _, id := range n.serverOrder {
 		server := n.servers[id]
