--- a/gossip/transport/receive.go
+++ b/gossip/transport/receive.go
@@ -1,7 +1,7 @@
 package transport
 
-// This file owns what comes in: who may speak, and the way of a datagram to the Node. It must never hand on what is not signed
-// by somebody who is trusted.
+// This file receives datagrams, checks them against the trusted keys and networks, and passes their records to the Node. A record
+// without the signature of a trusted instance never reaches it.
 
 import (
 	"context"
@@ -16,19 +16,19 @@
 	"eiderway/gossip"
 )
 
-// trustSet is who may speak.
+// trustSet holds the trusted keys, and the networks that datagrams are accepted from.
 type trustSet struct {
 	names    map[keyID]string
 	keys     map[keyID]ed25519.PublicKey
-	networks *bart.Lite
+	networks *bart.Lite // nil: any
 }
 
-// sender is what is remembered of datagrams under a key.
+// sender holds the newest incarnation and counter of the datagrams signed with a key.
 type sender struct {
 	incarnation, counter int64
 }
 
-// Trust replaces who may speak, and from where.
+// Trust replaces the trusted keys, by instance name, and the networks that datagrams are accepted from.
 func (t *Transport) Trust(names map[string][]ed25519.PublicKey, networks []netip.Prefix) {
 	trusted := &trustSet{names: map[keyID]string{}, keys: map[keyID]ed25519.PublicKey{}}
 	for name, keys := range names {
@@ -46,6 +46,7 @@
 	t.trust.Store(trusted)
 }
 
+// read receives datagrams until the socket is closed.
 func (t *Transport) read(ctx context.Context) error {
 	buf := make([]byte, 64<<10)
 	for {
@@ -65,7 +66,7 @@
 	}
 }
 
-// receiveDatagram checks a datagram before the actor sees it.
+// receiveDatagram checks a datagram, then passes it to the event loop.
 func (t *Transport) receiveDatagram(b []byte, from netip.AddrPort) {
 	trusted := t.trust.Load()
 	if trusted.networks != nil && !trusted.networks.Contains(from.Addr()) {
@@ -80,7 +81,9 @@
 	switch {
 	case errors.Is(err, errVersion):
 		t.counts.Versions.Add(1)
-		t.offer(func() { t.logOnce("version", "a peer of another protocol version is left out: "+from.String()) })
+		t.offer(func() {
+			t.logOnce("version", "ignoring datagrams of an unsupported protocol version from "+from.String())
+		})
 	case errors.Is(err, errUntrusted):
 		t.counts.Untrusted.Add(1)
 	case errors.Is(err, errSignature):
@@ -94,7 +97,7 @@
 	t.offer(func() { t.receive(e, records, from) })
 }
 
-// receive hands the records of a datagram to the Node.
+// receive passes the records of a datagram to the Node, unless the datagram is a replay or of an earlier incarnation.
 func (t *Transport) receive(e envelope, records []wireRecord, from netip.AddrPort) {
 	s := t.senders[e.key]
 	if s == nil {
@@ -140,15 +143,15 @@
 	}
 }
 
-// reportDuplicate tells two processes of one name about each other, now and then: the earlier one hears of the later, and the
-// later of the earlier.
+// reportDuplicate tells two processes of one name about each other, at a limited rate: it sends each the newest heartbeat of the
+// other.
 func (t *Transport) reportDuplicate(e envelope, records []wireRecord, from netip.AddrPort) {
 	name := t.trust.Load().names[e.key]
 	id, ok := t.instanceIDs[name]
 	if !ok || len(t.lastAlive[id].Encoded) == 0 || !t.node.AllowDuplicateReport(id, t.now()) {
 		return
 	}
-	t.logOnce("twins "+name, "two processes have the name "+name)
+	t.logOnce("duplicate "+name, "two processes have the name "+name)
 	t.sendDatagram(from, []gossip.Record{t.lastAlive[id]})
 	for _, w := range records {
 		if w.key == e.key && w.record.Kind == gossip.Alive {
@@ -157,18 +160,19 @@
 	}
 }
 
-// checkOwnName notices another process under our name: the later start wins, both say so.
+// checkOwnName logs that another process has the name of this instance. Both processes do so; peers believe the one started later.
 func (t *Transport) checkOwnName(w wireRecord) {
 	if w.record.Incarnation != t.config.Incarnation {
 		t.counts.Duplicates.Add(1)
-		what := "an earlier process had this instance's name, or still has it"
+		text := "an earlier process had this instance's name, or still has it"
 		if w.record.Incarnation > t.config.Incarnation {
-			what = "a later process has this instance's name; peers believe that one"
+			text = "a later process has this instance's name; peers believe that one"
 		}
-		t.logOnce("twice", what)
+		t.logOnce("own name", text)
 	}
 }
 
+// logOnce logs a text, but only once for each key.
 func (t *Transport) logOnce(key, text string) {
 	if !t.logged[key] {
 		t.logged[key] = true
--- a/gossip/transport/send.go
+++ b/gossip/transport/send.go
@@ -1,6 +1,6 @@
 package transport
 
-// This file owns what goes out: it signs and sends. It must never send but to instances that are trusted and to seeds.
+// This file signs and sends. It sends only to trusted instances and to seeds.
 
 import (
 	"net/netip"
@@ -9,6 +9,7 @@
 	"eiderway/gossip"
 )
 
+// sign completes a record of our own with its encoding and signature.
 func (t *Transport) sign(r gossip.Record) gossip.Record {
 	w := wireRecord{record: r, zone: t.config.Zone, addr: t.Addr().String()}
 	if r.Server >= 0 {
@@ -45,7 +46,7 @@
 	t.conn.WriteToUDPAddrPort(b, to)
 }
 
-// sendLeave tells some peers at once.
+// sendLeave announces to some peers at once that this instance leaves.
 func (t *Transport) sendLeave() {
 	now := t.now()
 	t.node.Publish(t.sign(t.node.LeaveRecord(now)))
--- a/gossip/transport/status.go
+++ b/gossip/transport/status.go
@@ -1,6 +1,6 @@
 package transport
 
-// This file owns the status that operators ask for.
+// This file reports the state of the gossip to operators.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"eiderway/gossip"
 )
 
-// Status is what `eiderway peers` shows.
+// Status is the output of `eiderway peers`.
 type Status struct {
 	Name       string           `json:"name"`
 	Quorum     float64          `json:"quorum"`
@@ -20,46 +20,46 @@
 	TurnedAway map[string]int64 `json:"turned_away"`
 }
 
-// NamedPeer is a peer with its name.
+// NamedPeer is the status of a peer with its name and address.
 type NamedPeer struct {
 	Name string   `json:"name"`
 	Addr string   `json:"addr"`
-	Keys []string `json:"keys"` // fingerprints that are trusted for it
+	Keys []string `json:"keys"` // fingerprints of the keys trusted for it
 	gossip.PeerStatus
 }
 
-// NamedServer is what is believed of a server, with its name.
+// NamedServer is the status of a server with its name and those of its accusers.
 type NamedServer struct {
 	Name     string   `json:"name"`
 	Accusers []string `json:"voices"`
 	gossip.ServerStatus
 }
 
-// AskStatus hands over the status.
-func (t *Transport) AskStatus(then func(Status)) {
-	t.tell(func() {
+// AskStatus passes the status to the callback, which runs on the goroutine of Run and must not block.
+func (t *Transport) AskStatus(callback func(Status)) {
+	t.enqueue(func() {
 		now := t.now()
 		s := Status{Name: t.config.Name, Quorum: t.node.Quorum(), Counts: t.node.Counts(), Bytes: [2]int64{t.counts.BytesIn.Load(), t.counts.BytesOut.Load()},
 			TurnedAway: map[string]int64{"malformed": t.counts.Malformed.Load(), "version": t.counts.Versions.Load(), "untrusted": t.counts.Untrusted.Load(),
 				"forged": t.counts.Forged.Load(), "replayed": t.counts.Replayed.Load(), "network": t.counts.Network.Load(), "flood": t.counts.Flood.Load()}}
 		trusted := t.trust.Load()
 		for _, p := range t.node.Peers(now) {
-			x := NamedPeer{Name: t.instanceNames[p.Index], Addr: t.addrs[p.Index].String(), PeerStatus: p}
+			peer := NamedPeer{Name: t.instanceNames[p.Index], Addr: t.addrs[p.Index].String(), PeerStatus: p}
 			for id, name := range trusted.names {
-				if name == x.Name {
-					x.Keys = append(x.Keys, fmt.Sprintf("%x", id))
+				if name == peer.Name {
+					peer.Keys = append(peer.Keys, fmt.Sprintf("%x", id))
 				}
 			}
-			slices.Sort(x.Keys)
-			s.Peers = append(s.Peers, x)
+			slices.Sort(peer.Keys)
+			s.Peers = append(s.Peers, peer)
 		}
-		for _, b := range t.node.Servers(now) {
-			x := NamedServer{Name: t.serverUIDs[b.Server], ServerStatus: b}
-			for _, who := range b.Accusers {
-				x.Accusers = append(x.Accusers, t.instanceNames[who])
+		for _, server := range t.node.Servers(now) {
+			named := NamedServer{Name: t.serverUIDs[server.Server], ServerStatus: server}
+			for _, who := range server.Accusers {
+				named.Accusers = append(named.Accusers, t.instanceNames[who])
 			}
-			s.Nodes = append(s.Nodes, x)
+			s.Nodes = append(s.Nodes, named)
 		}
-		then(s)
+		callback(s)
 	})
 }
--- a/gossip/transport/transport.go
+++ b/gossip/transport/transport.go
@@ -1,8 +1,7 @@
 package transport
 
-// This file owns the socket, the timers and the names: it is the actor that steps a gossip.Node, and maps the names of
-// instances, zones and servers to small indices. It must never judge an accusation, and never sends but to instances that
-// it trusts and to seeds.
+// This file holds the event loop that drives a gossip.Node, the socket and the timers, and maps the names of instances, zones and
+// servers to small indices. It never weighs an accusation, and sends only to trusted instances and seeds.
 
 import (
 	"context"
@@ -19,47 +18,47 @@
 	"eiderway/gossip"
 )
 
-// Config is what a Transport is given at start. Trust and Networks may be replaced while it runs.
+// Config holds the settings of a Transport. Transport.Trust replaces Trust and Networks while it runs.
 type Config struct {
 	Name           string
 	Zone           string
 	Listen         netip.AddrPort
 	Seeds          []netip.AddrPort
 	Key            ed25519.PrivateKey
-	Trust          map[string][]ed25519.PublicKey // by name; several while keys are changed
-	Networks       []netip.Prefix                 // empty: any
-	BytesPerSecond float64                        // out, and the same in for each peer that is trusted
-	Accuse         bool
+	Trust          map[string][]ed25519.PublicKey // by instance name; several keys during a key rotation
+	Networks       []netip.Prefix                 // networks that datagrams are accepted from; empty: any
+	BytesPerSecond float64                        // limit of outgoing bytes, and of incoming bytes for each trusted peer
+	Accuse         bool                           // whether to accuse servers
 	Seed           int64
-	Incarnation    int64 // 0: by the clock
+	Incarnation    int64 // 0: the current time in µs
 }
 
-// Owner is asked to suspect a server until a time (Unix, s), and to probe it now.
+// Owner receives the results of the gossip. Suspect asks it to suspect a server until a time (Unix, s), and perhaps to probe it now.
 type Owner interface {
 	Suspect(server string, until float64, probeNow bool)
 	ListOutdated() // a peer has a newer member list
 	Log(text string)
 }
 
-// Counts of what came and went.
+// Counts counts datagrams and bytes in both directions, and what was rejected and why.
 type Counts struct {
 	In, Out, BytesIn, BytesOut                                                   atomic.Int64
 	Malformed, Versions, Untrusted, Forged, Replayed, Network, Flood, Duplicates atomic.Int64
 }
 
 const (
-	tickEvery = 100 * time.Millisecond
-	maxMail   = 1024 // datagrams and calls that wait: beyond it they are dropped, as the network would
-	maxZones  = 64   // zones that are told apart
+	tickEvery  = 100 * time.Millisecond
+	maxPending = 1024 // pending datagrams and calls; further ones are dropped, as a network may drop them
+	maxZones   = 64   // zones with an index of their own; all further ones share one
 )
 
-// Transport is one instance's side.
+// Transport connects the Node of this instance to the network. Run serves it; all its methods may be called from any goroutine.
 type Transport struct {
 	config        Config
 	owner         Owner
 	conn          *net.UDPConn
 	mu            sync.Mutex
-	mail          []func()
+	pending       []func()
 	wake          chan struct{}
 	node          *gossip.Node
 	start         time.Time
@@ -68,21 +67,21 @@
 	instanceIDs   map[string]int // by name
 	instanceNames []string       // by index
 	addrs         []netip.AddrPort
-	lastAlive     []gossip.Record // the newest sign of life of each
+	lastAlive     []gossip.Record // the newest heartbeat of each instance, by index
 	zoneIDs       map[string]int
 	serverIDs     map[string]int
 	serverUIDs    []string
 	freeServerIDs []int
-	senders       map[keyID]*sender // emptied as keys are taken from the trusted
+	senders       map[keyID]*sender // by key; bounded by the keys that were ever trusted
 	counter       int64
 	nextSeed      int
 	key           ed25519.PrivateKey
 	counts        Counts
-	inbound       gossip.InboundLimit // the reader's alone
-	logged        map[string]bool     // what was logged once; bounded by the names trusted
+	inbound       gossip.InboundLimit // used only by the goroutine that reads the socket
+	logged        map[string]bool     // messages of logOnce, by key; bounded by the trusted names
 }
 
-// New binds the socket.
+// New makes a Transport and binds its socket.
 func New(config Config, owner Owner) (*Transport, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(config.Listen))
 	if err != nil {
@@ -97,31 +96,31 @@
 		logged: map[string]bool{}, inbound: gossip.InboundLimit{BytesPerPeer: config.BytesPerSecond}}
 	t.Trust(config.Trust, config.Networks)
 	t.node = gossip.New(gossip.Config{Seed: config.Seed, Incarnation: config.Incarnation, Zone: t.zoneID(config.Zone), BytesPerSecond: config.BytesPerSecond,
-		DatagramBytes: maxDatagramBytes - headBytes - ed25519.SignatureSize, Accuse: config.Accuse})
+		DatagramBytes: maxDatagramBytes - headerBytes - ed25519.SignatureSize, Accuse: config.Accuse})
 	return t, nil
 }
 
-// Addr tells where it listens.
+// Addr returns the address that the socket is bound to.
 func (t *Transport) Addr() netip.AddrPort { return t.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Counts tells what came and went.
+// Counts returns the counters, which go on counting.
 func (t *Transport) Counts() *Counts { return &t.counts }
 
-// SetKey changes the key that this instance signs with.
-func (t *Transport) SetKey(key ed25519.PrivateKey) { t.tell(func() { t.key = key }) }
+// SetKey replaces the key that this instance signs with.
+func (t *Transport) SetKey(key ed25519.PrivateKey) { t.enqueue(func() { t.key = key }) }
 
 func (t *Transport) now() float64 { return t.startUnix + time.Since(t.start).Seconds() }
 
-// tell has the actor do something. It never blocks.
-func (t *Transport) tell(f func()) { t.post(f, math.MaxInt) }
+// enqueue has the event loop call f. It never blocks and never drops f.
+func (t *Transport) enqueue(f func()) { t.post(f, math.MaxInt) }
 
-// offer does the same where there is room: what comes from outside is dropped beyond it, as the network would.
-func (t *Transport) offer(f func()) { t.post(f, maxMail) }
+// offer does the same, but drops f when maxPending calls wait: input from outside must not use up the memory.
+func (t *Transport) offer(f func()) { t.post(f, maxPending) }
 
-func (t *Transport) post(f func(), most int) {
+func (t *Transport) post(f func(), limit int) {
 	t.mu.Lock()
-	if len(t.mail) < most {
-		t.mail = append(t.mail, f)
+	if len(t.pending) < limit {
+		t.pending = append(t.pending, f)
 	}
 	t.mu.Unlock()
 	select {
@@ -130,19 +129,20 @@
 	}
 }
 
-func (t *Transport) drainMail() {
+// runPending calls all pending functions in order.
+func (t *Transport) runPending() {
 	t.mu.Lock()
-	all := t.mail
-	t.mail = nil
+	pending := t.pending
+	t.pending = nil
 	t.mu.Unlock()
-	for _, f := range all {
+	for _, f := range pending {
 		f()
 	}
 }
 
-// AddServer tells of a member of the list, new or moved.
+// AddServer adds a server of the member list, or moves a known one to another group.
 func (t *Transport) AddServer(uid string, group int) {
-	t.tell(func() {
+	t.enqueue(func() {
 		id, ok := t.serverIDs[uid]
 		if !ok {
 			id = len(t.serverUIDs)
@@ -158,9 +158,9 @@
 	})
 }
 
-// RemoveServer tells that a member of the list is gone for good.
+// RemoveServer forgets a server that is gone from the member list for good.
 func (t *Transport) RemoveServer(uid string) {
-	t.tell(func() {
+	t.enqueue(func() {
 		if id, ok := t.serverIDs[uid]; ok {
 			t.node.RemoveServer(id)
 			delete(t.serverIDs, uid)
@@ -170,24 +170,27 @@
 	})
 }
 
-// SetListVersion tells the version of the member list.
-func (t *Transport) SetListVersion(rev int64) { t.tell(func() { t.node.SetListVersion(rev) }) }
+// SetListVersion sets the version of our member list.
+func (t *Transport) SetListVersion(version int64) {
+	t.enqueue(func() { t.node.SetListVersion(version) })
+}
 
-// Observe tells what a submission or probe showed of a server.
+// Observe records the result of a submission or probe to a server.
 func (t *Transport) Observe(uid string, good, probe bool, sent float64) {
 	t.withServer(uid, func(id int) { t.suspect(t.node.Observe(id, good, probe, sent, t.now())) })
 }
 
-// Started tells that a submission has left for a server.
+// Started records that a submission was sent to a server.
 func (t *Transport) Started(uid string, sent float64) {
 	t.withServer(uid, func(id int) { t.node.Started(id, sent) })
 }
 
-// Finished tells that a submission came to an end that shows nothing.
+// Finished records that a submission ended without showing anything about the server.
 func (t *Transport) Finished(uid string, sent float64) {
 	t.withServer(uid, func(id int) { t.node.Finished(id, sent) })
 }
 
+// withServer has the event loop call f with the index of a server, unless the server is unknown.
 func (t *Transport) withServer(uid string, f func(id int)) {
 	t.offer(func() {
 		if id, ok := t.serverIDs[uid]; ok {
@@ -196,28 +199,29 @@
 	})
 }
 
-// Run serves until ctx ends, then says that it leaves.
+// Run serves until ctx ends, then sends the leave record and closes the socket.
 func (t *Transport) Run(ctx context.Context) error {
-	g, life := errgroup.WithContext(ctx)
-	g.Go(func() error { return t.read(life) })
-	g.Go(func() error {
-		tick := time.NewTicker(tickEvery)
-		defer tick.Stop()
+	group, groupCtx := errgroup.WithContext(ctx)
+	group.Go(func() error { return t.read(groupCtx) })
+	group.Go(func() error {
+		ticker := time.NewTicker(tickEvery)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-t.wake:
-				t.drainMail()
-			case <-tick.C:
+				t.runPending()
+			case <-ticker.C:
 				t.tick()
-			case <-life.Done():
+			case <-groupCtx.Done():
 				t.sendLeave()
 				return t.conn.Close()
 			}
 		}
 	})
-	return g.Wait()
+	return group.Wait()
 }
 
+// instanceID returns the index of an instance, a new one for a new name.
 func (t *Transport) instanceID(name string) int {
 	id, ok := t.instanceIDs[name]
 	if !ok {
@@ -230,10 +234,11 @@
 	return id
 }
 
+// zoneID returns the index of a zone, a new one for a new name.
 func (t *Transport) zoneID(name string) int {
 	id, ok := t.zoneIDs[name]
 	if !ok && len(t.zoneIDs) >= maxZones {
-		return maxZones // all further ones are one
+		return maxZones // shared by all further zones
 	}
 	if !ok {
 		id = len(t.zoneIDs)
@@ -242,21 +247,22 @@
 	return id
 }
 
-func (t *Transport) suspect(all []gossip.Suspicion) {
-	for _, d := range all {
-		t.owner.Suspect(t.serverUIDs[d.Server], d.Until, d.ProbeNow)
+// suspect passes suspicions on to the owner.
+func (t *Transport) suspect(suspicions []gossip.Suspicion) {
+	for _, s := range suspicions {
+		t.owner.Suspect(t.serverUIDs[s.Server], s.Until, s.ProbeNow)
 	}
 }
 
 func (t *Transport) tick() {
 	now := t.now()
-	e := t.node.Tick(now)
-	for _, r := range e.Own {
+	effects := t.node.Tick(now)
+	for _, r := range effects.Own {
 		t.node.Publish(t.sign(r))
 	}
-	t.suspect(e.Suspicions)
+	t.suspect(effects.Suspicions)
 	for _, s := range t.node.Round(now) {
 		t.send(s)
 	}
-	t.node.FreedIndices() // instances keep their index: there are as many as the settings name
+	t.node.FreedIndices() // not used: instances keep their index, and there are no more than the settings name
 }
--- a/gossip/transport/wire.go
+++ b/gossip/transport/wire.go
@@ -1,7 +1,7 @@
-// Package transport is the host of the gossip (package gossip): its socket, its signatures, its timers. It decides nothing.
+// Package transport runs a gossip.Node: it has the socket, the signatures and the timers. All decisions are those of the Node.
 //
-// This file owns the form of datagrams and records. Every record is signed by its origin and every datagram by its sender;
-// what is malformed, of another version or under a key that is not trusted is never handed on.
+// This file encodes and decodes datagrams and records. Every record is signed by its origin and every datagram by its sender.
+// Whatever is malformed, of another version or signed with a key that is not trusted is rejected.
 package transport
 
 import (
@@ -20,19 +20,19 @@
 
 const (
 	version          = 1
-	maxNameBytes     = 64 // bytes, of an instance's, a zone's or a server's name, or an address
-	headBytes        = 2 + 1 + 8 + 8 + 8 + 8
-	maxDatagramBytes = 1200 // bytes of a datagram: no path worth the name splits it
+	maxNameBytes     = 64 // bytes of the name of an instance, zone or server, or of an address
+	headerBytes      = 2 + 1 + 8 + 8 + 8 + 8
+	maxDatagramBytes = 1200 // small enough that no usual network path fragments the datagram
 )
 
 var (
 	errMalformed = errors.New("malformed")
-	errVersion   = errors.New("another version of the protocol")
-	errUntrusted = errors.New("a key that is not trusted")
-	errSignature = errors.New("a signature that does not hold")
+	errVersion   = errors.New("unsupported protocol version")
+	errUntrusted = errors.New("key is not trusted")
+	errSignature = errors.New("invalid signature")
 )
 
-// keyID names a public key on the wire.
+// keyID identifies a public key on the wire: the first bytes of its SHA-256.
 type keyID [8]byte
 
 func idOf(key ed25519.PublicKey) (id keyID) {
@@ -41,7 +41,7 @@
 	return id
 }
 
-// NewKey makes a key and writes it to a file that must not be there yet.
+// NewKey makes a key and writes its seed to a new file. It fails if the file exists.
 func NewKey(path string) (ed25519.PublicKey, error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
@@ -58,14 +58,14 @@
 	return public, f.Close()
 }
 
-// ReadKey reads a key's file, which nobody else may read.
+// ReadKey reads a private key from a file. It fails if the group or others have any permission on the file.
 func ReadKey(path string) (ed25519.PrivateKey, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: others may read or write it; chmod 600 would do", path)
+		return nil, fmt.Errorf("%s: group or others have access; run chmod 600 on it", path)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,37 +73,37 @@
 	}
 	seed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return nil, fmt.Errorf("%s: no key; `eiderway key new` makes one", path)
+		return nil, fmt.Errorf("%s: no key of 32 bytes in base64; `eiderway key new` makes one", path)
 	}
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// FormatKey is a public key as settings have it.
+// FormatKey returns a public key as it is written in the settings.
 func FormatKey(key ed25519.PublicKey) string { return base64.StdEncoding.EncodeToString(key) }
 
-// Fingerprint names a public key in few letters.
+// Fingerprint returns the short form of a public key.
 func Fingerprint(key ed25519.PublicKey) string {
 	id := idOf(key)
 	return fmt.Sprintf("%x", id[:])
 }
 
-// ParseKey reads a public key.
+// ParseKey parses a public key as FormatKey writes it.
 func ParseKey(text string) (ed25519.PublicKey, error) {
 	key, err := base64.StdEncoding.DecodeString(text)
 	if err != nil || len(key) != ed25519.PublicKeySize {
-		return nil, fmt.Errorf("%q is no public key of 32 bytes in base64", text)
+		return nil, fmt.Errorf("%q is not a public key of 32 bytes in base64", text)
 	}
 	return key, nil
 }
 
-// wireRecord is a record as it is on the wire.
+// wireRecord is a record with the names and addresses that the wire has instead of indices.
 type wireRecord struct {
 	key    keyID
-	record gossip.Record // without Origin and Server
+	record gossip.Record // Origin and Server are not set
 	zone   string        // of Alive
-	addr   string        // of Alive: where its origin is reached
+	addr   string        // of Alive: address of its origin
 	server string        // of Accuse and Retract
-	signed []byte        // with its signature
+	signed []byte        // encoded, with its signature
 }
 
 func appendText(dst []byte, s string) []byte { return append(append(dst, byte(len(s))), s...) }
@@ -125,7 +125,7 @@
 	return append(b, ed25519.Sign(key, append([]byte("eiderway record 1 "), b...))...)
 }
 
-// reader takes things from a datagram; after the first that is not there, all are zero.
+// reader reads values from a datagram. Once one is missing or invalid, bad is set and further values are zero.
 type reader struct {
 	b   []byte
 	at  int
@@ -152,9 +152,9 @@
 	return string(r.bytes(n))
 }
 
-// decodeRecord reads one record and checks its signature.
+// decodeRecord decodes one record and verifies its signature.
 func decodeRecord(r *reader, trusted func(keyID) ed25519.PublicKey) (w wireRecord, err error) {
-	from := r.at
+	start := r.at
 	w.record.Kind = gossip.Kind(r.bytes(1)[0])
 	copy(w.key[:], r.bytes(len(w.key)))
 	w.record.Incarnation, w.record.Seq = int64(r.number()), int64(r.number())
@@ -170,7 +170,7 @@
 	default:
 		return w, errMalformed
 	}
-	body := r.b[from:r.at]
+	body := r.b[start:r.at]
 	signature := r.bytes(ed25519.SignatureSize)
 	if r.bad || math.IsNaN(w.record.At) || math.IsInf(w.record.At, 0) || w.record.Seq < 0 {
 		return w, errMalformed
@@ -182,12 +182,12 @@
 	if !ed25519.Verify(key, append([]byte("eiderway record 1 "), body...), signature) {
 		return w, errSignature
 	}
-	w.signed = r.b[from:r.at:r.at]
+	w.signed = r.b[start:r.at:r.at]
 	w.record.Size, w.record.Encoded = len(w.signed), append([]byte(nil), w.signed...)
 	return w, nil
 }
 
-// envelope is what a datagram says of itself.
+// envelope is the header of a datagram. Incarnation and counter let receivers reject replays.
 type envelope struct {
 	key         keyID
 	incarnation int64
@@ -208,9 +208,10 @@
 	return append(b, ed25519.Sign(key, b)...)
 }
 
-// decodeDatagram checks a datagram and its records. A record that does not hold spoils no other one before it.
+// decodeDatagram decodes a datagram and verifies its signature and those of its records. If a record is invalid, the records before
+// it are still returned.
 func decodeDatagram(b []byte, trusted func(keyID) ed25519.PublicKey) (e envelope, decoded []wireRecord, err error) {
-	if len(b) < headBytes+ed25519.SignatureSize || b[0] != 'E' || b[1] != 'W' {
+	if len(b) < headerBytes+ed25519.SignatureSize || b[0] != 'E' || b[1] != 'W' {
 		return e, nil, errMalformed
 	}
 	if b[2] != version {
@@ -232,7 +233,7 @@
 		w, err := decodeRecord(r, trusted)
 		if err != nil {
 			if errors.Is(err, errUntrusted) && !r.bad {
-				continue // of an instance that we don't trust, passed on by one that we do
+				continue // a record of an instance that we don't trust, passed on by one that we do trust
 			}
 			return e, decoded, err
 		}
