--- a/gossip/accusations.go
+++ b/gossip/accusations.go
@@ -23,8 +23,8 @@
 }
 
 // penalize takes weight from a peer whose accusation our own observations refuted.
-func (n *Node) penalize(who int, now float64) {
-	p := n.peerAt(who)
+func (n *Node) penalize(origin int, now float64) {
+	p := n.peerAt(origin)
 	if p == nil {
 		return
 	}
@@ -57,10 +57,10 @@
 
 // dropAccusations removes all accusations of a peer.
 func (n *Node) dropAccusations(p *peer) {
-	for who, other := range n.peers {
+	for origin, other := range n.peers {
 		if other == p {
 			for _, id := range n.serverOrder {
-				delete(n.servers[id].accusations, who)
+				delete(n.servers[id].accusations, origin)
 			}
 		}
 	}
@@ -128,10 +128,10 @@
 	if n.config.BelieveAll {
 		quorum = 1
 	}
-	for _, who := range sortedKeys(server.accusations) {
-		accusation, p := server.accusations[who], n.peerAt(who)
+	for _, origin := range sortedKeys(server.accusations) {
+		accusation, p := server.accusations[origin], n.peerAt(origin)
 		if now >= accusation.expires || p == nil {
-			delete(server.accusations, who)
+			delete(server.accusations, origin)
 			continue
 		}
 		w := n.weight(p, now)
--- a/gossip/evidence.go
+++ b/gossip/evidence.go
@@ -100,13 +100,13 @@
 	}
 	// A success refutes accusations that arrived before we sent: they are wrong or outdated, and each costs its peer weight.
 	// A failure confirms them and gives their peers weight back.
-	for _, who := range sortedKeys(server.accusations) {
-		accusation, p := server.accusations[who], n.peerAt(who)
+	for _, origin := range sortedKeys(server.accusations) {
+		accusation, p := server.accusations[origin], n.peerAt(origin)
 		switch {
 		case accusation.receivedAt > sent || probe && accusation.reason == Failing || p == nil:
 		case good:
-			n.penalize(who, now)
-			delete(server.accusations, who)
+			n.penalize(origin, now)
+			delete(server.accusations, origin)
 		default:
 			p.lostWeight, p.lostWeightAt = max(0, p.penalty(now)-trueAccusationGain), now
 			p.confirmed++
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -68,12 +68,12 @@
 }
 
 // receive passes a record of a peer to the Node.
-func (s *scene) receive(who int, r Record) {
-	p := s.peers[who]
+func (s *scene) receive(origin int, r Record) {
+	p := s.peers[origin]
 	require.NotNil(s.t, p, s.place)
 	p.seq++
-	r.Origin, r.Incarnation, r.Seq, r.At, r.Zone, r.Size = who, p.incarnation, p.seq, s.now+p.skew, p.zone, recordBytes
-	s.lastRecord[who] = r
+	r.Origin, r.Incarnation, r.Seq, r.At, r.Zone, r.Size = origin, p.incarnation, p.seq, s.now+p.skew, p.zone, recordBytes
+	s.lastRecord[origin] = r
 	e := s.node.Receive(r, s.now)
 	if e.ListOutdated {
 		s.listRequests++
@@ -93,9 +93,9 @@
 	for end := s.now + seconds - 1e-9; s.now < end; {
 		s.now += 0.1
 		if tenth := int(math.Round(s.now * 10)); tenth%10 == 0 {
-			for _, who := range sortedKeys(s.peers) {
-				if !s.peers[who].silenced {
-					s.receive(who, Record{Kind: Alive, Server: -1})
+			for _, origin := range sortedKeys(s.peers) {
+				if !s.peers[origin].silenced {
+					s.receive(origin, Record{Kind: Alive, Server: -1})
 				}
 			}
 		}
@@ -117,21 +117,21 @@
 	arg := func(i int) int { return int(s.number(words[i])) }
 	switch words[0] {
 	case "node":
-		t, servers := Config{Seed: 1, Incarnation: 1, BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true}, 4
+		config, servers := Config{Seed: 1, Incarnation: 1, BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true}, 4
 		for _, o := range words[1:] {
 			name, n, _ := strings.Cut(o, "=")
 			switch name {
 			case "zone":
-				t.Zone = int(s.number(n))
+				config.Zone = int(s.number(n))
 			case "servers":
 				servers = int(s.number(n))
 			case "believe-all":
-				t.BelieveAll = true
+				config.BelieveAll = true
 			default:
 				require.Fail(s.t, "unknown option", s.place)
 			}
 		}
-		s.node = New(t)
+		s.node = New(config)
 		for i := range servers {
 			s.node.AddServer(i, 0)
 		}
@@ -249,18 +249,18 @@
 		s.advance(6)
 		accusers := int(s.node.Quorum()) - 1
 		for range rapid.IntRange(1, 150).Draw(rt, "steps") {
-			who, server := rapid.IntRange(0, min(accusers, n)-1).Draw(rt, "who"), rapid.IntRange(0, 5).Draw(rt, "node")
+			origin, server := rapid.IntRange(0, min(accusers, n)-1).Draw(rt, "who"), rapid.IntRange(0, 5).Draw(rt, "node")
 			switch rapid.IntRange(0, 6).Draw(rt, "what") {
 			case 0, 1, 2:
-				s.receive(who, Record{Kind: Accuse, Server: server})
+				s.receive(origin, Record{Kind: Accuse, Server: server})
 			case 3:
-				s.receive(who, Record{Kind: Retract, Server: server})
+				s.receive(origin, Record{Kind: Retract, Server: server})
 			case 4:
-				s.play([]string{"replay", strconv.Itoa(who)})
+				s.play([]string{"replay", strconv.Itoa(origin)})
 			case 5:
 				s.advance(rapid.Float64Range(0, 2).Draw(rt, "wait"))
 			case 6:
-				s.play([]string{"restart", strconv.Itoa(who)})
+				s.play([]string{"restart", strconv.Itoa(origin)})
 			}
 			if s.node.Counts().Suspicions != 0 {
 				rt.Fatalf("%d of %d peers made a server suspected; the quorum is %g", accusers, n, s.node.Quorum())
@@ -299,11 +299,11 @@
 	}
 	run := func(believeAll bool, seed int64) (f figures, history []SimSuspicion) {
 		n := *instanceCount
-		s := NewSim(n, Config{BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true, BelieveAll: believeAll}, seed, func(i int, t *Config) { t.Zone = i % 2 })
+		s := NewSim(n, Config{BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true, BelieveAll: believeAll}, seed, func(i int, c *Config) { c.Zone = i % 2 })
 		s.Loss = 0.3
-		for _, m := range s.Nodes {
+		for _, node := range s.Nodes {
 			for server := range 12 {
-				m.AddServer(server, server/4)
+				node.AddServer(server, server/4)
 			}
 		}
 		// The first few have a faulty network: their submissions to any server fail now and then.
@@ -378,8 +378,8 @@
 	s.Run(20)
 	alivePeers := func() (least, most int) {
 		least = 1 << 30
-		for _, m := range s.Nodes {
-			least, most = min(least, m.AlivePeers()), max(most, m.AlivePeers())
+		for _, node := range s.Nodes {
+			least, most = min(least, node.AlivePeers()), max(most, node.AlivePeers())
 		}
 		return least, most
 	}
@@ -398,18 +398,18 @@
 // TestSingleAccuserSuspectsNothing checks that an instance that accuses every server all the time makes no other instance suspect
 // one.
 func TestSingleAccuserSuspectsNothing(t *testing.T) {
-	run := func(lies bool) []SimSuspicion {
+	run := func(accuses bool) []SimSuspicion {
 		s := NewSim(20, Config{BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true}, 9, nil)
-		for _, m := range s.Nodes {
+		for _, node := range s.Nodes {
 			for server := range 6 {
-				m.AddServer(server, 0)
+				node.AddServer(server, 0)
 			}
 		}
 		for range 60 {
 			for i := range 20 {
 				s.Observe(i, i%6, true)
 			}
-			if lies {
+			if accuses {
 				for server := range 6 {
 					for range 3 {
 						s.Observe(19, server, false)
@@ -427,17 +427,17 @@
 // TestLeaveGoesFirst checks that every datagram of the last round of an instance starts with its leave record, however many other
 // records are queued.
 func TestLeaveGoesFirst(t *testing.T) {
-	m := New(Config{Seed: 1, Incarnation: 1, BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true})
-	for who := range 19 {
-		m.Receive(Record{Kind: Alive, Origin: who, Incarnation: 1, Seq: 1, At: 1e6, Server: -1, Size: recordBytes}, 1e6)
+	node := New(Config{Seed: 1, Incarnation: 1, BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true})
+	for origin := range 19 {
+		node.Receive(Record{Kind: Alive, Origin: origin, Incarnation: 1, Seq: 1, At: 1e6, Server: -1, Size: recordBytes}, 1e6)
 	}
 	for server := range 40 {
-		m.Publish(Record{Kind: Accuse, Origin: -1, Incarnation: 1, Seq: int64(server + 1), At: 1e6, Server: server, Size: recordBytes})
+		node.Publish(Record{Kind: Accuse, Origin: -1, Incarnation: 1, Seq: int64(server + 1), At: 1e6, Server: server, Size: recordBytes})
 	}
-	r := m.LeaveRecord(1e6)
+	r := node.LeaveRecord(1e6)
 	r.Size = recordBytes
-	m.Publish(r)
-	sends := m.Round(1e6)
+	node.Publish(r)
+	sends := node.Round(1e6)
 	require.NotEmpty(t, sends)
 	for _, s := range sends {
 		require.Equal(t, Leave, s.Records[0].Kind)
@@ -453,11 +453,11 @@
 func TestRandomFaults(t *testing.T) {
 	const n, servers, step = 20, 12, 0.2
 	const spread = 2.0 // s until an accusation has reached all instances at a loss of one datagram in ten
-	s := NewSim(n, Config{BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true}, 5, func(i int, t *Config) { t.Zone = i % 2 })
+	s := NewSim(n, Config{BytesPerSecond: 8192, DatagramBytes: 1100, Accuse: true}, 5, func(i int, c *Config) { c.Zone = i % 2 })
 	s.Loss = 0.1
-	for _, m := range s.Nodes {
+	for _, node := range s.Nodes {
 		for server := range servers {
-			m.AddServer(server, server/4)
+			node.AddServer(server, server/4)
 		}
 	}
 	rng := rand.New(rand.NewSource(7))
@@ -466,7 +466,7 @@
 	instanceFaults := make([]fault, n)     // this share of the submissions of the instance fails
 	falseAccusers := make([]fault, n)
 	cut := fault{}
-	on := func(f fault) bool { return s.Now >= f.from && s.Now < f.until }
+	isActive := func(f fault) bool { return s.Now >= f.from && s.Now < f.until }
 	begin := func(f *fault, most, share float64) bool {
 		free := s.Now > f.until+8
 		if free {
@@ -474,7 +474,7 @@
 		}
 		return free
 	}
-	s.Cut = func(from, to int) bool { return on(cut) && from%2 != to%2 }
+	s.Cut = func(from, to int) bool { return isActive(cut) && from%2 != to%2 }
 	longFaults, suspected := 0, map[[2]float64]bool{}
 	s.Run(8)
 	for end := s.Now + *faultSeconds; s.Now < end; {
@@ -495,9 +495,9 @@
 		for i := range n {
 			for server := range servers {
 				if rng.Float64() < 0.25 {
-					bad := on(serverFaults[server]) && rng.Float64() < serverFaults[server].share || on(instanceFaults[i]) && rng.Float64() < instanceFaults[i].share ||
-						on(cut) && i%2 != server%2
-					s.Observe(i, server, !bad && !(on(falseAccusers[i]) && server%3 == int(s.Now)%3))
+					bad := isActive(serverFaults[server]) && rng.Float64() < serverFaults[server].share || isActive(instanceFaults[i]) && rng.Float64() < instanceFaults[i].share ||
+						isActive(cut) && i%2 != server%2
+					s.Observe(i, server, !bad && !(isActive(falseAccusers[i]) && server%3 == int(s.Now)%3))
 				}
 			}
 		}
--- a/gossip/transport/status.go
+++ b/gossip/transport/status.go
@@ -55,8 +55,8 @@
 		}
 		for _, server := range t.node.Servers(now) {
 			named := NamedServer{Name: t.serverUIDs[server.Server], ServerStatus: server}
-			for _, who := range server.Accusers {
-				named.Accusers = append(named.Accusers, t.instanceNames[who])
+			for _, accuser := range server.Accusers {
+				named.Accusers = append(named.Accusers, t.instanceNames[accuser])
 			}
 			s.Nodes = append(s.Nodes, named)
 		}
