--- a/control/controller/deployment_test.go
+++ b/control/controller/deployment_test.go
@@ -49,7 +49,7 @@
 // the seed only. The checks follow from the guarantees of the control plane, and know nothing of how a controller works.
 type deployment struct {
 	now                 time.Duration
-	agenda              virtualtime.Agenda
+	agenda              virtualtime.EventQueue
 	random              *rand.Rand
 	tolerance           int
 	guards              disabledGuards
--- a/control/controller/scenario_test.go
+++ b/control/controller/scenario_test.go
@@ -78,10 +78,10 @@
 			trace("--- " + line.Text)
 		}
 		if err := s.runCommand(line.Words); err != nil {
-			return fmt.Errorf("%s: %w", line.Place, err)
+			return fmt.Errorf("%s: %w", line.Location, err)
 		}
 		if s.deployment.violation != "" {
-			return fmt.Errorf("%s: %s", line.Place, s.deployment.violation)
+			return fmt.Errorf("%s: %s", line.Location, s.deployment.violation)
 		}
 	}
 	return nil
@@ -124,7 +124,7 @@
 	to := d.machine(words[1])
 	switch words[0] {
 	case "order":
-		return d.sendConfiguration(to, int64(scenario.Number(words[2])), words[3])
+		return d.sendConfiguration(to, int64(scenario.ParseInt(words[2])), words[3])
 	case "invalid":
 		return d.sendInvalidConfiguration(to)
 	case "fetch":
@@ -132,7 +132,7 @@
 	case "leave":
 		return d.sendLeave(to, words[2])
 	case "beat":
-		instance := instance{id: words[2], isDraining: words[3] == "draining", seq: uint64(scenario.Number(words[4]))}
+		instance := instance{id: words[2], isDraining: words[3] == "draining", seq: uint64(scenario.ParseInt(words[4]))}
 		heartbeat := instance.heartbeat()
 		if words[3] == "warming" {
 			heartbeat.WarmupLeftMs = 1000
@@ -158,7 +158,7 @@
 	d := s.deployment
 	switch words[0] {
 	case "controllers":
-		s.deployment = newDeployment(s.seed, scenario.Number(words[1]), scenario.Number(words[3]), s.guards)
+		s.deployment = newDeployment(s.seed, scenario.ParseInt(words[1]), scenario.ParseInt(words[3]), s.guards)
 		s.deployment.trace = s.trace
 	case "gateway":
 		for _, name := range words[1:] {
@@ -167,7 +167,7 @@
 	case "instance":
 		d.addInstance(words[1], words[2] == "primary")
 	case "run":
-		d.run(scenario.Span(words[1]))
+		d.run(scenario.ParseDuration(words[1]))
 	case "cut", "join":
 		d.cutLinks.Set(words[1], words[0] == "cut")
 	case "isolate":
@@ -175,11 +175,11 @@
 	case "links":
 		clear(d.cutLinks)
 	case "disk":
-		d.machine(words[1]).disk.delay = scenario.Span(words[2])
+		d.machine(words[1]).disk.delay = scenario.ParseDuration(words[2])
 	case "probes":
-		d.probeTime = scenario.Span(words[1])
+		d.probeTime = scenario.ParseDuration(words[1])
 	case "slow":
-		d.gateway(words[1]).applyDelay = scenario.Span(words[2])
+		d.gateway(words[1]).applyDelay = scenario.ParseDuration(words[2])
 	case "dump":
 		s.dumps = map[*machine]replication.DurableState{}
 		for _, machine := range d.machines {
--- a/control/failover/scenario_test.go
+++ b/control/failover/scenario_test.go
@@ -32,17 +32,17 @@
 		}
 		when, err := time.ParseDuration(fields[1])
 		if err != nil {
-			t.Fatalf("%s: %v", line.Place, err)
+			t.Fatalf("%s: %v", line.Location, err)
 		}
 		w.runUntil(when)
 		if fields[0] == "check" {
 			if fault := w.check(fields[2:]); fault != "" {
-				t.Errorf("%s: at %v %s", line.Place, when, fault)
+				t.Errorf("%s: at %v %s", line.Location, when, fault)
 			}
 			continue
 		}
 		if !w.do(fields[2:]) {
-			t.Fatalf("%s: unknown", line.Place)
+			t.Fatalf("%s: unknown", line.Location)
 		}
 	}
 	for _, fault := range w.judge.faults {
--- a/control/failover/world_test.go
+++ b/control/failover/world_test.go
@@ -14,7 +14,7 @@
 // Everything happens on one queue of events in simulated time; one seed gives one history.
 type world struct {
 	now     time.Duration
-	agenda  virtualtime.Agenda
+	agenda  virtualtime.EventQueue
 	random  *rand.Rand
 	options options
 
--- a/control/registry/scenario_test.go
+++ b/control/registry/scenario_test.go
@@ -39,10 +39,10 @@
 		before, want, _ := strings.Cut(line.Text, "->")
 		got, err := env.step(strings.Fields(before))
 		if err != nil {
-			t.Fatalf("%s: %v", line.Place, err)
+			t.Fatalf("%s: %v", line.Location, err)
 		}
 		if got != strings.Join(strings.Fields(want), " ") {
-			t.Errorf("%s\n got %q", line.Place, got)
+			t.Errorf("%s\n got %q", line.Location, got)
 		}
 	}
 }
--- a/control/replication/scenario_test.go
+++ b/control/replication/scenario_test.go
@@ -66,17 +66,17 @@
 			trace(fmt.Sprintf("%8s --- %s", player.world.now.Round(time.Millisecond), line.Text))
 		}
 		if err := player.do(line.Words); err != nil {
-			return fmt.Errorf("%s: %w", line.Place, err)
+			return fmt.Errorf("%s: %w", line.Location, err)
 		}
 		if player.world.checker.violation != "" {
-			return fmt.Errorf("%s: %s", line.Place, player.world.checker.violation)
+			return fmt.Errorf("%s: %s", line.Location, player.world.checker.violation)
 		}
 	}
 	return nil
 }
 
 func (p *scenarioPlayer) begin(words []string, seed int64, guards disabledGuards, trace func(string)) {
-	p.world = newWorld(seed, scenario.Number(words[1]), scenario.Number(words[3]), scenario.Number(words[5]), guards)
+	p.world = newWorld(seed, scenario.ParseInt(words[1]), scenario.ParseInt(words[3]), scenario.ParseInt(words[5]), guards)
 	p.world.keepsIncarnation = guards.emptyDiskVotes
 	p.world.trace = trace
 }
@@ -85,7 +85,7 @@
 	w := p.world
 	switch words[0] {
 	case "run":
-		w.run(scenario.Span(words[1]))
+		w.run(scenario.ParseDuration(words[1]))
 	case "await":
 		return p.await(words[1], strings.Join(words[2:], " "))
 	case "cut", "join":
@@ -99,9 +99,9 @@
 	case "client":
 		w.clientActive = words[1] == "on"
 	case "network":
-		w.loss, w.duplicated, w.delayed = scenario.Share(words[1]), scenario.Share(words[2]), scenario.Share(words[3])
+		w.loss, w.duplicated, w.delayed = scenario.ParseFloat(words[1]), scenario.ParseFloat(words[2]), scenario.ParseFloat(words[3])
 	case "value":
-		w.orderBytes = scenario.Number(words[1])
+		w.orderBytes = scenario.ParseInt(words[1])
 	case "seeds":
 		p.changeSeeds(words[1:])
 	case "add":
@@ -164,9 +164,9 @@
 	case "leave":
 		w.leave(machine, false)
 	case "disk":
-		machine.disk.delay = scenario.Span(words[2])
+		machine.disk.delay = scenario.ParseDuration(words[2])
 	case "stall":
-		machine.disk.busyUntil = w.now + scenario.Span(words[2])
+		machine.disk.busyUntil = w.now + scenario.ParseDuration(words[2])
 	case "refuse":
 		machine.disk.refuses = true
 	case "accept":
@@ -230,13 +230,13 @@
 	case "voters", "copies":
 		return p.expectView(words[0], words[1:])
 	case "voter-count":
-		return p.expectVoterCount(scenario.Number(words[1]))
+		return p.expectVoterCount(scenario.ParseInt(words[1]))
 	case "all-know-primary":
 		return p.expectAllKnowPrimary()
 	case "orders":
 		before := w.checker.ordersDone
-		w.run(scenario.Span(words[3]))
-		if got := w.checker.ordersDone - before; got < scenario.Number(words[1]) {
+		w.run(scenario.ParseDuration(words[3]))
+		if got := w.checker.ordersDone - before; got < scenario.ParseInt(words[1]) {
 			return fmt.Errorf("%d orders acknowledged: %s", got, w.describe())
 		}
 	case "events":
@@ -246,7 +246,7 @@
 				count++
 			}
 		}
-		if count != scenario.Number(words[len(words)-1]) {
+		if count != scenario.ParseInt(words[len(words)-1]) {
 			return fmt.Errorf("%d such events", count)
 		}
 	case "ended":
--- a/control/replication/world_test.go
+++ b/control/replication/world_test.go
@@ -63,7 +63,7 @@
 
 type world struct {
 	now              time.Duration
-	agenda           virtualtime.Agenda
+	agenda           virtualtime.EventQueue
 	random           *rand.Rand
 	machines         []*machine
 	byAddress        map[string]*machine
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -225,7 +225,7 @@
 	scenario.Each(t, func(t *testing.T, path string) {
 		s := &scene{t: t, now: 1e6, peers: map[int]*speaker{}, last: map[int]Record{}, until: map[int]float64{}, out: map[int]float64{}}
 		for _, line := range scenario.MustRead(t, path) {
-			s.where = line.Place
+			s.where = line.Location
 			s.play(line.Words)
 		}
 	})
--- a/lease/book_test.go
+++ b/lease/book_test.go
@@ -250,7 +250,7 @@
 		last := -1
 		drift := 0.01
 		for _, line := range scenario.MustRead(t, path) {
-			w, where := line.Words, line.Place
+			w, where := line.Words, line.Location
 			num := func(i int) float64 {
 				x, err := strconv.ParseFloat(w[i], 64)
 				require.NoError(t, err, where)
--- a/peerstate/peerstate_test.go
+++ b/peerstate/peerstate_test.go
@@ -236,7 +236,7 @@
 	scenario.Each(t, func(t *testing.T, path string) {
 		s := &scene{t: t, now: 1e9, names: map[string]int{}, counts: map[string]int{}}
 		for _, line := range scenario.MustRead(t, path) {
-			s.where = line.Place
+			s.where = line.Location
 			s.play(line.Words)
 		}
 	})
--- a/splitter/scenario_test.go
+++ b/splitter/scenario_test.go
@@ -287,7 +287,7 @@
 		w := &world{t: t, now: 1000, roles: map[string][]string{}, then: map[int]func(Result){},
 			sent: map[int]float64{}, cut: map[int]float64{}, over: map[int]bool{}}
 		for _, line := range scenario.MustRead(t, path) {
-			w.where = line.Place
+			w.where = line.Location
 			w.play(line.Words)
 		}
 	})
--- a/systemtest/drain_test.go
+++ b/systemtest/drain_test.go
@@ -37,9 +37,9 @@
 func TestInstancesThatLeftStayAway(t *testing.T) {
 	t.Parallel() // mostly waits
 	w := startWorldWith(t, func(settings *testinstance.Settings) {
-		settings.BeatsOn = true
+		settings.BeatsAfterLeave = true
 	})
-	w.service.SetTroubles(testinstance.Troubles{LateShare: 0.5, LateMost: 4 * time.Second})
+	w.service.SetFaults(testinstance.Faults{LateShare: 0.5, MaxLateDelay: 4 * time.Second})
 	w.replicasLeave()
 	w.service.Leader().Drain()
 	w.awaitDepartures(instanceCount)
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -46,7 +46,7 @@
 
 func playSoak(t *testing.T, seed uint64) {
 	s := &soak{
-		world:   startTenants(t, func(settings *testinstance.Settings) { settings.BeatsOn = seed%2 == 0 }, startLinks, nil),
+		world:   startTenants(t, func(settings *testinstance.Settings) { settings.BeatsAfterLeave = seed%2 == 0 }, startLinks, nil),
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		began:   time.Now(),
 		busy:    map[string]bool{},
@@ -293,7 +293,7 @@
 
 func (s *soak) cutControl() {
 	address := s.layout.Control(s.random.IntN(workload.Controllers))
-	cut := func(isCut bool) func() { return func() { s.service.CutControl(address, isCut) } }
+	cut := func(isCut bool) func() { return func() { s.service.CutController(address, isCut) } }
 	s.last("calls of instances to "+address, "cut", cut(true), cut(false))
 }
 
@@ -321,9 +321,9 @@
 }
 
 func (s *soak) loseOnTheWay() {
-	troubles := testinstance.Troubles{LoseAnswers: 0.1, LoseAcks: 0.3, LateShare: 0.4, LateMost: troubleMost}
-	s.last("answers", "lost or late", func() { s.service.SetTroubles(troubles) },
-		func() { s.service.SetTroubles(testinstance.Troubles{}) })
+	troubles := testinstance.Faults{LoseAnswers: 0.1, LoseAcks: 0.3, LateShare: 0.4, MaxLateDelay: troubleMost}
+	s.last("answers", "lost or late", func() { s.service.SetFaults(troubles) },
+		func() { s.service.SetFaults(testinstance.Faults{}) })
 }
 
 func (s *soak) platformTrouble() {
@@ -373,7 +373,7 @@
 			continue
 		}
 		id := fmt.Sprintf("db-%d", s.named)
-		added, err := s.service.Succeed(gone, id)
+		added, err := s.service.StartSuccessor(gone, id)
 		if err != nil {
 			continue // its address isn't free yet
 		}
@@ -394,7 +394,7 @@
 
 // stoodStill tells whether the gateway that had an instance run something stood still shortly before: it is not in touch then, and
 // may send late what it checked in time.
-func (s *soak) stoodStill(ran testinstance.Ran) bool {
+func (s *soak) stoodStill(ran testinstance.Execution) bool {
 	for _, one := range s.stopped[ran.Caller] {
 		if ran.At.After(one.from) && ran.At.Before(one.to.Add(contactTime)) {
 			return true
--- a/systemtest/tenants_world_test.go
+++ b/systemtest/tenants_world_test.go
@@ -161,7 +161,7 @@
 // ranOf are the statements of a client that instances ran, as they were sent.
 func (w *world) ranOf(client int) []string {
 	var texts []string
-	for _, ran := range w.service.Journal().Ran {
+	for _, ran := range w.service.Journal().Executions {
 		if strings.HasPrefix(ran.ID, fmt.Sprintf("s%d.", client)) {
 			texts = append(texts, ran.Text)
 		}
--- a/systemtest/workload/judge.go
+++ b/systemtest/workload/judge.go
@@ -19,7 +19,7 @@
 	Final      testinstance.Log // of the instance that leads at the end
 	DrainTime  time.Duration    // after which nothing may be begun at an instance that has said that it goes
 	// Excused says of what an instance ran that its caller stood still just before, so that it may come too late; nil: of nothing.
-	Excused func(testinstance.Ran) bool
+	Excused func(testinstance.Execution) bool
 }
 
 // Judge returns the rules that were broken, each with what breaks it; none if all were kept.
@@ -39,8 +39,8 @@
 type judge struct {
 	Evidence
 	broken []string
-	asked  map[string]Statement        // by id
-	stamps map[string]testinstance.Ran // by stamp
+	asked  map[string]Statement              // by id
+	stamps map[string]testinstance.Execution // by stamp
 	kept   map[string][]testinstance.Entry
 }
 
@@ -48,13 +48,13 @@
 	j := &judge{
 		Evidence: evidence,
 		asked:    map[string]Statement{},
-		stamps:   map[string]testinstance.Ran{},
+		stamps:   map[string]testinstance.Execution{},
 		kept:     map[string][]testinstance.Entry{},
 	}
 	for _, statement := range evidence.Statements {
 		j.asked[statement.ID] = statement
 	}
-	for _, ran := range evidence.Journal.Ran {
+	for _, ran := range evidence.Journal.Executions {
 		j.stamps[ran.Stamp] = ran
 	}
 	for _, entry := range evidence.Final {
@@ -69,7 +69,7 @@
 
 // instancesRanWhatWasAsked: only what a client sent, with its id and text.
 func (j *judge) instancesRanWhatWasAsked() {
-	for _, ran := range j.Journal.Ran {
+	for _, ran := range j.Journal.Executions {
 		asked, known := j.asked[ran.ID]
 		if !known || !sameText(asked.Text, ran.Text) {
 			j.report("UNASKED", "%s ran %q for %s", ran.Instance, ran.Text, ran.ID)
@@ -203,7 +203,7 @@
 	for _, departure := range j.Journal.Departures {
 		gone[departure.Instance] = departure.At.Add(j.DrainTime)
 	}
-	for _, ran := range j.Journal.Ran {
+	for _, ran := range j.Journal.Executions {
 		until, departed := gone[ran.Instance]
 		if departed && ran.First && ran.At.After(until) && !j.isExcused(ran) {
 			j.report("DRAIN", "%s began at %s %v too late", ran.ID, ran.Instance, ran.At.Sub(until))
@@ -211,4 +211,4 @@
 	}
 }
 
-func (j *judge) isExcused(ran testinstance.Ran) bool { return j.Excused != nil && j.Excused(ran) }
+func (j *judge) isExcused(ran testinstance.Execution) bool { return j.Excused != nil && j.Excused(ran) }
--- a/systemtest/workload/judge_test.go
+++ b/systemtest/workload/judge_test.go
@@ -38,7 +38,7 @@
 		},
 		Journal: testinstance.Journal{
 			Promotes: []testinstance.Promote{{Instance: "one", Term: 1, At: at(0)}, {Instance: "two", Term: 2, At: at(3), Log: early}},
-			Ran: []testinstance.Ran{
+			Executions: []testinstance.Execution{
 				{ID: "s1", Text: "PUT t x", Instance: "one", Term: 1, Stamp: "a", Log: early, Wrote: true, At: at(1)},
 				{ID: "s2", Text: "EXECUTE p7 t y", Instance: "two", Term: 2, Stamp: "b", Log: final, Wrote: true, At: at(4)},
 				{ID: "s3", Text: "FETCH t", Instance: "two", Term: 2, Stamp: "c", Rows: []string{"y"}, Log: final, At: at(6)},
@@ -58,7 +58,7 @@
 	}{
 		"a statement at one that has gone": {"DRAIN", func(e *Evidence) {
 			e.Journal.Departures = []testinstance.Departure{{Instance: "two", At: at(1)}}
-			e.Journal.Ran[2].First = true
+			e.Journal.Executions[2].First = true
 		}},
 		"an acknowledged write is gone":  {"LOST", func(e *Evidence) { e.Final = e.Final[:1] }},
 		"a promote without it":           {"LOST", func(e *Evidence) { e.Journal.Promotes[1].Log = nil }},
@@ -66,12 +66,12 @@
 		"a refused write is kept":        {"REFUSED", func(e *Evidence) { e.Final = append(e.Final[:2:2], entry(2, 3, "s4", "z")) }},
 		"other data are kept":            {"UNASKED", func(e *Evidence) { e.Final = testinstance.Log{e.Final[0], entry(2, 2, "s2", "v")} }},
 		"nobody asked for a commit":      {"UNASKED", func(e *Evidence) { e.Final = append(e.Final[:2:2], entry(2, 3, "s9", "v")) }},
-		"a changed text is run":          {"UNASKED", func(e *Evidence) { e.Journal.Ran[1].Text = "EXECUTE p7 t z" }},
+		"a changed text is run":          {"UNASKED", func(e *Evidence) { e.Journal.Executions[1].Text = "EXECUTE p7 t z" }},
 		"a success without a stamp":      {"MIXED", func(e *Evidence) { e.Statements[2].Stamp = "-" }},
 		"a success with another's stamp": {"MIXED", func(e *Evidence) { e.Statements[2].Stamp = "b" }},
 		"other rows":                     {"MIXED", func(e *Evidence) { e.Statements[2].Rows = []string{"x"} }},
-		"an old read":                    {"STALE", func(e *Evidence) { e.Journal.Ran[2].Log = e.Final[:1] }},
-		"an old primary's write":         {"ONE", func(e *Evidence) { e.Journal.Ran[0].At = at(4) }},
+		"an old read":                    {"STALE", func(e *Evidence) { e.Journal.Executions[2].Log = e.Final[:1] }},
+		"an old primary's write":         {"ONE", func(e *Evidence) { e.Journal.Executions[0].At = at(4) }},
 	} {
 		evidence := lawful()
 		one.spoil(&evidence)
--- a/systemtest/workload/tenant_judge.go
+++ b/systemtest/workload/tenant_judge.go
@@ -82,7 +82,7 @@
 
 // statementsRunAsTheirTenants: a statement runs in the name of a tenant that holds its client's key by a configuration that may be in force.
 func (j *tenantJudge) statementsRunAsTheirTenants() {
-	for _, ran := range j.Journal.Ran {
+	for _, ran := range j.Journal.Executions {
 		asked, known := j.asked[ran.ID]
 		if !known {
 			continue // the judge of statements sees it
@@ -100,7 +100,7 @@
 
 // holders are the tenants that held the key of a statement by any configuration sent before it ran, and by one that may still have been in
 // force for it.
-func (j *tenantJudge) holders(asked Statement, ran testinstance.Ran) (ever, now []string) {
+func (j *tenantJudge) holders(asked Statement, ran testinstance.Execution) (ever, now []string) {
 	for _, order := range j.Orders {
 		holder := holderOf(order.Tenants, asked.Key)
 		if holder == "" || order.wasRefused() || order.Sent.After(ran.At) {
@@ -144,7 +144,7 @@
 func (j *tenantJudge) operations() map[string][]operation {
 	type owner struct{ tenant, try string }
 	found := map[owner]operation{}
-	for _, ran := range j.Journal.Ran {
+	for _, ran := range j.Journal.Executions {
 		asked, known := j.asked[ran.ID]
 		if !known {
 			continue
--- a/systemtest/workload/tenant_judge_test.go
+++ b/systemtest/workload/tenant_judge_test.go
@@ -46,7 +46,7 @@
 func (e *TenantEvidence) run(key, who string, second int) {
 	id := fmt.Sprintf("s%d", len(e.Statements))
 	e.Statements = append(e.Statements, Statement{ID: id, Try: id, Key: key, Began: at(second), Sent: at(second), Outcome: Done})
-	e.Journal.Ran = append(e.Journal.Ran, testinstance.Ran{ID: id, Who: who, At: at(second)})
+	e.Journal.Executions = append(e.Journal.Executions, testinstance.Execution{ID: id, Who: who, At: at(second)})
 }
 
 func TestTenantJudgeSeesEachFault(t *testing.T) {
@@ -87,7 +87,7 @@
 	for name, allow := range map[string]func(*TenantEvidence){
 		"a statement sent in time that ran late": func(e *TenantEvidence) {
 			e.run("flour", "bakers", 13)
-			e.Journal.Ran[len(e.Journal.Ran)-1].At = at(30)
+			e.Journal.Executions[len(e.Journal.Executions)-1].At = at(30)
 		},
 		"a key that came back": func(e *TenantEvidence) {
 			e.Orders = append(e.Orders, Order{Number: 6, Sent: at(30), Tenants: []Tenant{{Name: "bakers", Keys: []string{"flour"}, RatePerS: 2}}})
@@ -95,7 +95,7 @@
 		},
 		"an operation that arrived after the window": func(e *TenantEvidence) {
 			e.run("yeast", "bakers", 54)
-			e.Journal.Ran[len(e.Journal.Ran)-1].At = at(56)
+			e.Journal.Executions[len(e.Journal.Executions)-1].At = at(56)
 		},
 		"many statements of a transaction": func(e *TenantEvidence) {
 			for range 20 {
--- a/systemtest/world_test.go
+++ b/systemtest/world_test.go
@@ -46,7 +46,7 @@
 	gateways    []*process
 	history     *workload.History
 	orders      *workload.Orders
-	excused     func(testinstance.Ran) bool // nil: nothing is
+	excused     func(testinstance.Execution) bool // nil: nothing is
 	clients     *workload.Clients
 	number      atomic.Int64 // of the newest configuration
 	links       *links       // nil: processes speak directly
--- a/testing/scenario/scenario.go
+++ b/testing/scenario/scenario.go
@@ -13,9 +13,9 @@
 
 // Line is one command.
 type Line struct {
-	Place string // file, number and text, for what is said of it
-	Text  string // without the remark
-	Words []string
+	Location string // file, number and text, for what is said of it
+	Text     string // without the remark
+	Words    []string
 }
 
 // Each plays every scenario in testdata as a test of its own, and fails where there is none.
@@ -40,8 +40,8 @@
 	for index, line := range strings.Split(string(text), "\n") {
 		command, _, _ := strings.Cut(line, "#")
 		if words := strings.Fields(command); len(words) > 0 {
-			place := fmt.Sprintf("%s:%d: %s", filepath.Base(path), index+1, strings.TrimSpace(command))
-			lines = append(lines, Line{Place: place, Text: command, Words: words})
+			location := fmt.Sprintf("%s:%d: %s", filepath.Base(path), index+1, strings.TrimSpace(command))
+			lines = append(lines, Line{Location: location, Text: command, Words: words})
 		}
 	}
 	return lines, nil
@@ -57,8 +57,8 @@
 	return lines
 }
 
-// Number reads a whole number. A scenario that can't be read is a mistake in it, so this panics, as do Share and Span.
-func Number(word string) int {
+// ParseInt reads a whole number. A scenario that can't be read is a mistake in it, so this panics, as do ParseFloat and ParseDuration.
+func ParseInt(word string) int {
 	value, err := strconv.Atoi(word)
 	if err != nil {
 		panic(err)
@@ -66,8 +66,8 @@
 	return value
 }
 
-// Share reads a number such as 0.3.
-func Share(word string) float64 {
+// ParseFloat reads a number such as 0.3.
+func ParseFloat(word string) float64 {
 	value, err := strconv.ParseFloat(word, 64)
 	if err != nil {
 		panic(err)
@@ -75,8 +75,8 @@
 	return value
 }
 
-// Span reads a duration such as 300ms.
-func Span(word string) time.Duration {
+// ParseDuration reads a duration such as 300ms.
+func ParseDuration(word string) time.Duration {
 	value, err := time.ParseDuration(word)
 	if err != nil {
 		panic(err)
--- a/testing/scenario/scenario_test.go
+++ b/testing/scenario/scenario_test.go
@@ -15,7 +15,7 @@
 	lines, err := Read(path)
 	is.NoErr(err)
 	is.Equal(lines, []Line{
-		{Place: "one.txt:2: kill a", Text: "kill a  ", Words: []string{"kill", "a"}},
-		{Place: "one.txt:4: wait 2s", Text: "  wait 2s", Words: []string{"wait", "2s"}},
+		{Location: "one.txt:2: kill a", Text: "kill a  ", Words: []string{"kill", "a"}},
+		{Location: "one.txt:4: wait 2s", Text: "  wait 2s", Words: []string{"wait", "2s"}},
 	})
 }
--- a/testing/virtualtime/virtualtime_test.go
+++ b/testing/virtualtime/virtualtime_test.go
@@ -7,25 +7,25 @@
 	"github.com/matryer/is"
 )
 
-func TestAgendaKeepsOrder(t *testing.T) {
+func TestEventQueueKeepsOrder(t *testing.T) {
 	is := is.New(t)
-	var agenda Agenda
+	var queue EventQueue
 	var ran []string
 	for _, event := range []struct {
 		at   time.Duration
 		name string
 	}{{2, "b"}, {1, "a"}, {2, "c"}, {3, "late"}} {
-		agenda.Add(event.at, func() { ran = append(ran, event.name) })
+		queue.Add(event.at, func() { ran = append(ran, event.name) })
 	}
 	for {
-		_, run, found := agenda.Next(2)
+		_, run, found := queue.Next(2)
 		if !found {
 			break
 		}
 		run()
 	}
 	is.Equal(ran, []string{"a", "b", "c"})
-	at, _, found := agenda.Next(3)
+	at, _, found := queue.Next(3)
 	is.True(found)
 	is.Equal(at, time.Duration(3))
 }
--- a/testinstance/connection.go
+++ b/testinstance/connection.go
@@ -92,7 +92,7 @@
 		if err != nil || !c.instance.awaitThaw(c.ctx) || !c.awaitJoin() {
 			return
 		}
-		if request.ID != wire.InternalID && happens(c.instance.service.currentTroubles().LoseAnswers) {
+		if request.ID != wire.InternalID && happens(c.instance.service.currentFaults().LoseAnswers) {
 			return
 		}
 		if _, err := c.network.Write(wire.AppendAnswer(nil, answer)); err != nil {
--- a/testinstance/trouble.go
+++ b/testinstance/fault.go
@@ -8,25 +8,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Troubles of a service's instances, as long as they are set.
-type Troubles struct {
-	LoseAnswers float64       // share of the clients' statements whose answer is lost after they were run
-	LoseAcks    float64       // share of the controllers' acknowledgements that an instance never sees
-	LateShare   float64       // share of the calls to controllers that come a second time, late
-	LateMost    time.Duration // how late
+// Faults of a service's instances, as long as they are set.
+type Faults struct {
+	LoseAnswers  float64       // share of the clients' statements whose answer is lost after they were run
+	LoseAcks     float64       // share of the controllers' acknowledgements that an instance never sees
+	LateShare    float64       // share of the calls to controllers that come a second time, late
+	MaxLateDelay time.Duration // how late
 }
 
-// SetTroubles replaces the troubles.
-func (s *Service) SetTroubles(troubles Troubles) {
+// SetFaults replaces the faults.
+func (s *Service) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.troubles = troubles
+	s.faults = faults
 }
 
-func (s *Service) currentTroubles() Troubles {
+func (s *Service) currentFaults() Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.troubles
+	return s.faults
 }
 
 // happens draws whether something with this share happens now.
@@ -61,8 +61,8 @@
 	return false
 }
 
-// CutControl keeps all instances from a controller, or lets them reach it again.
-func (s *Service) CutControl(address string, cut bool) {
+// CutController keeps all instances from a controller, or lets them reach it again.
+func (s *Service) CutController(address string, cut bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.cutControls[address] = cut
@@ -85,14 +85,14 @@
 
 // sendLate has some calls come once more, much later, as if they had been held up on their way.
 func (c *caller) sendLate(ctx context.Context, target, action string, body any) {
-	troubles := c.instance.service.currentTroubles()
-	if !happens(troubles.LateShare) {
+	faults := c.instance.service.currentFaults()
+	if !happens(faults.LateShare) {
 		return
 	}
 	late := newCaller(c.instance)
 	c.instance.service.running.Go(func() {
 		defer late.client.CloseIdleConnections()
-		if pause(context.WithoutCancel(ctx), rand.N(troubles.LateMost)) {
+		if pause(context.WithoutCancel(ctx), rand.N(faults.MaxLateDelay)) {
 			_, _ = late.post(context.WithoutCancel(ctx), target, action, body)
 		}
 	})
@@ -105,8 +105,8 @@
 	return i.left
 }
 
-// Succeed starts a replica with the address and the log of an instance that has left.
-func (s *Service) Succeed(gone *Instance, id string) (*Instance, error) {
+// StartSuccessor starts a replica with the address and the log of an instance that has left.
+func (s *Service) StartSuccessor(gone *Instance, id string) (*Instance, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !gone.left {
--- a/testinstance/heartbeat.go
+++ b/testinstance/heartbeat.go
@@ -74,7 +74,7 @@
 	for i.awaitThaw(ctx) {
 		if i.isLeavingFirst() {
 			i.leave(ctx, caller)
-			i.serveOn(ctx, caller, i.service.settings.BeatsOn)
+			i.serveOn(ctx, caller, i.service.settings.BeatsAfterLeave)
 			i.finish()
 			return
 		}
@@ -138,7 +138,7 @@
 		call := body()
 		c.sendLate(ctx, target, action, call)
 		answer, err := c.post(ctx, target, action, call)
-		if err == nil && happens(c.instance.service.currentTroubles().LoseAcks) {
+		if err == nil && happens(c.instance.service.currentFaults().LoseAcks) {
 			err = errLostAck
 		}
 		if err == nil {
--- a/testinstance/instance_test.go
+++ b/testinstance/instance_test.go
@@ -39,7 +39,7 @@
 	settings := DefaultSettings("orders", func() []string { return []string{strings.TrimPrefix(sending.URL, "http://")} })
 	settings.BeatInterval = 20 * time.Millisecond
 	settings.DrainTime = 20 * time.Millisecond
-	settings.GoesOn = 50 * time.Millisecond
+	settings.StepDownDelay = 50 * time.Millisecond
 	if change != nil {
 		change(&settings)
 	}
@@ -240,7 +240,7 @@
 // TestFrozenPrimary wakes a primary that was replaced meanwhile: it goes on as one for a while.
 func TestFrozenPrimary(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, func(settings *Settings) { settings.GoesOn = 500 * time.Millisecond })
+	c := startCluster(t, func(settings *Settings) { settings.StepDownDelay = 500 * time.Millisecond })
 	a := c.instances[0]
 	old := c.dial(a)
 	a.Freeze(true)
--- a/testinstance/journal.go
+++ b/testinstance/journal.go
@@ -8,7 +8,7 @@
 // Journal is what the instances of a service did, in the order in which they did it.
 type Journal struct {
 	Promotes   []Promote
-	Ran        []Ran
+	Executions []Execution
 	Departures []Departure
 	Connected  []Connected
 }
@@ -34,8 +34,8 @@
 	Log      Log // with which the instance began to lead
 }
 
-// Ran is a read, or a commit of a write, that a client's statement had an instance run.
-type Ran struct {
+// Execution is a read, or a commit of a write, that a client's statement had an instance run.
+type Execution struct {
 	ID       string // of the client's statement
 	Text     string
 	Instance string
@@ -56,7 +56,7 @@
 	defer s.mutex.Unlock()
 	return Journal{
 		Promotes:   slices.Clone(s.journal.Promotes),
-		Ran:        slices.Clone(s.journal.Ran),
+		Executions: slices.Clone(s.journal.Executions),
 		Departures: slices.Clone(s.journal.Departures),
 		Connected:  slices.Clone(s.journal.Connected),
 	}
--- a/testinstance/replicate.go
+++ b/testinstance/replicate.go
@@ -98,7 +98,7 @@
 	if i.metNewAt.IsZero() {
 		i.metNewAt = now
 	}
-	left := i.metNewAt.Add(i.service.settings.GoesOn).Sub(now)
+	left := i.metNewAt.Add(i.service.settings.StepDownDelay).Sub(now)
 	if left > 0 {
 		return left
 	}
--- a/testinstance/service.go
+++ b/testinstance/service.go
@@ -16,21 +16,21 @@
 
 // Settings are those of a service and of its instances.
 type Settings struct {
-	Name           string
-	SyncReplicas   int                  // 1: a commit is answered once a replica has received it
-	Delay          time.Duration        // from the primary to a replica
-	GoesOn         time.Duration        // how long an old primary goes on once it can reach the new one
-	Slots          int                  // statements at a time
-	MaxConnections int                  // from all callers
-	ConnectTime    time.Duration        // for which a new connection holds a slot
-	Work           time.Duration        // for which a statement holds a slot
-	CutBackTime    time.Duration        // for which a replica that was cut back is busy
-	BeatInterval   time.Duration        // between heartbeats
-	DrainTime      time.Duration        // served on after the acknowledgement of a drain or of a leave
-	Linger         time.Duration        // served beyond the drain time
-	BeatsOn        bool                 // heartbeats go on after a leave that no drain came before
-	Controllers    func() []string      // control addresses, as the operator's list has them
-	Note           func(message string) // told what happens, with the lock held; may be nil
+	Name            string
+	SyncReplicas    int                  // 1: a commit is answered once a replica has received it
+	Delay           time.Duration        // from the primary to a replica
+	StepDownDelay   time.Duration        // how long an old primary goes on once it can reach the new one
+	Slots           int                  // statements at a time
+	MaxConnections  int                  // from all callers
+	ConnectTime     time.Duration        // for which a new connection holds a slot
+	Work            time.Duration        // for which a statement holds a slot
+	CutBackTime     time.Duration        // for which a replica that was cut back is busy
+	BeatInterval    time.Duration        // between heartbeats
+	DrainTime       time.Duration        // served on after the acknowledgement of a drain or of a leave
+	Linger          time.Duration        // served beyond the drain time
+	BeatsAfterLeave bool                 // heartbeats go on after a leave that no drain came before
+	Controllers     func() []string      // control addresses, as the operator's list has them
+	Note            func(message string) // told what happens, with the lock held; may be nil
 	// CallerOf names the process that a client's statement comes through, since callers name themselves after tenants; it may know nothing,
 	// and may be nil.
 	CallerOf func(statementID string) (process string, known bool)
@@ -42,7 +42,7 @@
 		Name:           name,
 		SyncReplicas:   1,
 		Delay:          2 * time.Millisecond,
-		GoesOn:         time.Second,
+		StepDownDelay:  time.Second,
 		Slots:          16,
 		MaxConnections: 100,
 		ConnectTime:    2 * time.Millisecond,
@@ -70,7 +70,7 @@
 
 	cutCallers  map[string]bool
 	cutControls map[string]bool
-	troubles    Troubles
+	faults      Faults
 
 	journal Journal
 }
--- a/testinstance/statements.go
+++ b/testinstance/statements.go
@@ -72,11 +72,11 @@
 	service := c.instance.service
 	service.mutex.Lock()
 	log, lost := c.instance.log, c.lostLead()
-	ran := Ran{ID: request.ID, Text: request.Text, Log: log, Rows: c.rowsOf(log, statement.Key)}
+	execution := Execution{ID: request.ID, Text: request.Text, Log: log, Rows: c.rowsOf(log, statement.Key)}
 	var stamp string
 	lags := statement.HasAfter && !log.reaches(statement.After)
 	if !lags && !lost {
-		stamp = c.record(ran, c.opens())
+		stamp = c.record(execution, c.opens())
 	}
 	service.mutex.Unlock()
 	switch {
@@ -85,7 +85,7 @@
 	case lost:
 		return c.fail(wire.ReadOnly, c.instance.id)
 	}
-	return wire.Answer{Rows: ran.Rows, Stamp: stamp, State: c.state, Position: positionOf(log)}
+	return wire.Answer{Rows: execution.Rows, Stamp: stamp, State: c.state, Position: positionOf(log)}
 }
 
 // lostLead tells whether a plain transaction is open whose instance doesn't lead any more. The lock is held.
@@ -118,7 +118,7 @@
 	var stamp string
 	if !refused {
 		c.pending = append(c.pending, write)
-		stamp = c.record(Ran{ID: request.ID, Text: request.Text, Log: c.instance.log}, c.opens())
+		stamp = c.record(Execution{ID: request.ID, Text: request.Text, Log: c.instance.log}, c.opens())
 	}
 	service.mutex.Unlock()
 	if refused {
@@ -141,7 +141,7 @@
 	lost := c.lostLead() && len(writes) > 0
 	stamp := ""
 	if len(writes) == 0 {
-		stamp = c.record(Ran{ID: request.ID, Text: request.Text, Log: c.instance.log}, false)
+		stamp = c.record(Execution{ID: request.ID, Text: request.Text, Log: c.instance.log}, false)
 	}
 	service.mutex.Unlock()
 	c.endTransaction()
@@ -165,7 +165,7 @@
 		return c.fail(wire.ReadOnly, instance.id), nil
 	}
 	entry := instance.write(request.ID, writes)
-	stamp := c.record(Ran{ID: request.ID, Text: request.Text, Log: instance.log, Wrote: true}, first)
+	stamp := c.record(Execution{ID: request.ID, Text: request.Text, Log: instance.log, Wrote: true}, first)
 	service.mutex.Unlock()
 	if !instance.awaitReplica(c.ctx, entry) {
 		return wire.Answer{}, errBroken
@@ -181,15 +181,15 @@
 }
 
 // record writes down what a client's statement had the instance run, and makes its stamp. The lock is held.
-func (c *connection) record(ran Ran, first bool) string {
+func (c *connection) record(execution Execution, first bool) string {
 	service := c.instance.service
 	service.stamps++
-	ran.Instance = c.instance.id
-	ran.Term = c.instance.term
-	ran.Stamp = fmt.Sprintf("%d.%s.%x", ran.Term, ran.Instance, service.stamps)
-	ran.At = time.Now()
-	ran.First = first
-	ran.Caller, ran.Who = c.caller, c.who
-	service.journal.Ran = append(service.journal.Ran, ran)
-	return ran.Stamp
+	execution.Instance = c.instance.id
+	execution.Term = c.instance.term
+	execution.Stamp = fmt.Sprintf("%d.%s.%x", execution.Term, execution.Instance, service.stamps)
+	execution.At = time.Now()
+	execution.First = first
+	execution.Caller, execution.Who = c.caller, c.who
+	service.journal.Executions = append(service.journal.Executions, execution)
+	return execution.Stamp
 }
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -239,7 +239,7 @@
 		var f *fleet
 		regions := map[string]string{}
 		for _, line := range scenario.MustRead(t, path) {
-			w, where := line.Words, line.Place
+			w, where := line.Words, line.Location
 			num := func(i int) float64 {
 				x, err := strconv.ParseFloat(w[i], 64)
 				require.NoError(t, err, where)
