--- a/cmd/eidersystem/demo.go
+++ b/cmd/eidersystem/demo.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	demoTime  = 10 * time.Second // by default
-	demoLeast = 6 * time.Second  // a failover and a takeover fit in
+	defaultDemoDuration = 10 * time.Second // default of --for
+	minDemoDuration     = 6 * time.Second  // enough for a failover and for a change of the leading controller
 )
 
-// errDemoFailed makes the exit code tell that something acknowledged is missing.
+// errDemoFailed makes the process exit with an error when a rule was broken, such as when an acknowledged write is missing.
 var errDemoFailed = eris.New("demo: the rules were not kept")
 
 func demoCommand() *ffcli.Command {
 	flags := newFlagSet("demo")
-	duration := flags.Duration("for", demoTime, "how long clients work")
+	duration := flags.Duration("for", defaultDemoDuration, "how long clients work")
 	withLog := flags.Bool("log", false, "write the log of the system's parts to standard error")
 	return &ffcli.Command{
 		Name:       "demo",
@@ -32,8 +32,8 @@
 			if len(arguments) > 0 {
 				return eris.New("demo takes no arguments")
 			}
-			if *duration < demoLeast {
-				return eris.Errorf("demo: --for %v is too short: %v or more would do", *duration, demoLeast)
+			if *duration < minDemoDuration {
+				return eris.Errorf("demo: --for %v is too short: %v or more would do", *duration, minDemoDuration)
 			}
 			ctx, stop := signal.NotifyContext(ctx, os.Interrupt)
 			defer stop()
--- a/cmd/eidersystem/demo_tenants.go
+++ b/cmd/eidersystem/demo_tenants.go
@@ -10,52 +10,52 @@
 )
 
 const (
-	demoTenant     = "bakers" // whose clients work during the demo
-	demoKey        = "key-of-the-bakers"
-	demoLimited    = "smiths"
-	demoLimitedKey = "key-of-the-smiths"
-	demoRate       = 5.0 // operations a second of the smiths
-	demoBurst      = 5.0
-	demoAsksFor    = 2 * time.Second       // that the smiths ask for operations
-	demoAsksEvery  = 20 * time.Millisecond // likewise
-	demoFirst      = 1000                  // the number of the client that does
+	demoTenant            = "bakers" // its clients work during the whole demo
+	demoKey               = "key-of-the-bakers"
+	limitedTenant         = "smiths"
+	limitedTenantKey      = "key-of-the-smiths"
+	limitedTenantRate     = 5.0 // operations a second
+	limitedTenantBurst    = 5.0
+	limitedTenantTime     = 2 * time.Second       // how long the limited tenant asks for operations
+	limitedTenantInterval = 20 * time.Millisecond // between its operations
+	limitedTenantClient   = 1000                  // the number of its client; the others count from 1
 )
 
 func demoTenants() []workload.Tenant {
 	return []workload.Tenant{
 		{Name: demoTenant, Keys: []string{demoKey}},
-		{Name: demoLimited, Keys: []string{demoLimitedKey}, RatePerS: demoRate, BurstSize: demoBurst},
+		{Name: limitedTenant, Keys: []string{limitedTenantKey}, RatePerS: limitedTenantRate, BurstSize: limitedTenantBurst},
 	}
 }
 
-// clientSettings are those of clients with a key.
+// clientSettings returns the settings of clients that connect with the key.
 func (d *demo) clientSettings(key string) workload.ClientSettings {
 	return workload.ClientSettings{
 		Database: demoDatabase,
-		Gateways: d.fronts,
+		Gateways: d.gatewayAddresses,
 		History:  d.history,
 		Key:      func(int) string { return key },
 	}
 }
 
-var errDemoTenants = errors.New("demo: a client was served, or refused, against the table of tenants")
+var errTenantsNotEnforced = errors.New("demo: a client was served, or refused, against the table of tenants")
 
-// showTenants has a client come with a key that nobody holds, and a tenant ask for more than its limit.
-func (d *demo) showTenants(ctx context.Context) error {
-	front := d.fronts()[0]
-	_, err := wire.Dial(ctx, front, demoDatabase, "nobodys-key", "")
+// demonstrateTenants connects with a key of no tenant, which must be refused, and has a tenant exceed its limit of operations.
+func (d *demo) demonstrateTenants(ctx context.Context) error {
+	gatewayAddress := d.gatewayAddresses()[0]
+	_, err := wire.Dial(ctx, gatewayAddress, demoDatabase, "nobodys-key", "")
 	var refused *wire.RefusedError
 	if !errors.As(err, &refused) || refused.Code != wire.AuthFail {
-		return errors.Join(errDemoTenants, err)
+		return errors.Join(errTenantsNotEnforced, err)
 	}
-	d.story.tell("a client whose key nobody holds is refused: %s", refused.Code)
-	session := workload.OpenSession(demoFirst, front, d.clientSettings(demoLimitedKey))
+	d.progress.printf("a client whose key nobody holds is refused: %s", refused.Code)
+	session := workload.OpenSession(limitedTenantClient, gatewayAddress, d.clientSettings(limitedTenantKey))
 	if session == nil {
-		return errDemoTenants
+		return errTenantsNotEnforced
 	}
 	defer session.Close()
 	served, busy := 0, 0
-	for until := time.Now().Add(demoAsksFor); time.Now().Before(until) && demoRest(ctx, demoAsksEvery); {
+	for until := time.Now().Add(limitedTenantTime); time.Now().Before(until) && sleep(ctx, limitedTenantInterval); {
 		switch written := session.Put("limited", "x"); {
 		case written.Outcome == workload.Done:
 			served++
@@ -63,10 +63,10 @@
 			busy++
 		}
 	}
-	d.story.tell("tenant %s, which may have %g operations a second, asks for %d in %v: %d run, %d are refused", demoLimited,
-		demoRate, served+busy, demoAsksFor, served, busy)
+	d.progress.printf("tenant %s, which may have %g operations a second, asks for %d in %v: %d run, %d are refused", limitedTenant,
+		limitedTenantRate, served+busy, limitedTenantTime, served, busy)
 	if served == 0 || busy == 0 {
-		return errDemoTenants
+		return errTenantsNotEnforced
 	}
 	return nil
 }
--- a/cmd/eidersystem/demo_test.go
+++ b/cmd/eidersystem/demo_test.go
@@ -9,20 +9,20 @@
 	"github.com/matryer/is"
 )
 
-func TestDemoRefusesWhatItCantShow(t *testing.T) {
+func TestDemoRejectsInvalidArguments(t *testing.T) {
 	is := is.New(t)
-	is.Equal(execute(t.Context(), []string{"demo", "--for", "1s"}), exitBadUse)
-	is.Equal(execute(t.Context(), []string{"demo", "quickly"}), exitBadUse)
+	is.Equal(execute(t.Context(), []string{"demo", "--for", "1s"}), exitFailure)
+	is.Equal(execute(t.Context(), []string{"demo", "quickly"}), exitFailure)
 }
 
-// TestDemoKeepsWhatWasAcknowledged plays the shortest demo, and reads its account.
-func TestDemoKeepsWhatWasAcknowledged(t *testing.T) {
+// TestDemoLosesNothingAcknowledged runs the shortest demo, and checks the events that it prints.
+func TestDemoLosesNothingAcknowledged(t *testing.T) {
 	is := is.New(t)
-	var account bytes.Buffer
-	err := runDemo(t.Context(), demoLeast, newLog(io.Discard), &account)
-	t.Log(account.String())
+	var output bytes.Buffer
+	err := runDemo(t.Context(), minDemoDuration, newLog(io.Discard), &output)
+	t.Log(output.String())
 	is.NoErr(err)
 	for _, line := range []string{"nobody holds is refused: AUTHFAIL", "tenant smiths", "leads orders in term", "which led, is gone", "nothing that was acknowledged is missing"} {
-		is.True(strings.Contains(account.String(), line))
+		is.True(strings.Contains(output.String(), line))
 	}
 }
--- a/cmd/eidersystem/gateway.go
+++ b/cmd/eidersystem/gateway.go
@@ -6,12 +6,12 @@
 	"eiderway/gateway"
 )
 
-func runGateway(ctx context.Context, process process) error {
+func runGateway(ctx context.Context, options runOptions) error {
 	return gateway.Run(ctx, gateway.Options{
-		Settings:  process.settings,
-		Reload:    process.changed,
-		Log:       process.log,
-		Terminate: process.terminated,
-		Publish:   process.publish,
+		Settings:  options.settings,
+		Reload:    options.changed,
+		Log:       options.log,
+		Terminate: options.terminated,
+		Publish:   options.publish,
 	})
 }
--- a/cmd/eidersystem/log.go
+++ b/cmd/eidersystem/log.go
@@ -10,21 +10,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// lineFormat writes an entry as one short line: time of day, level, message, fields in order of their names. Writing
-// costs processor time, and so does sending what was written elsewhere.
-type lineFormat struct{}
+// lineFormatter writes an entry as one line: time of day, level, message, fields sorted by name. The lines are kept short
+// since writing them costs processor time, and so does forwarding them to other machines.
+type lineFormatter struct{}
 
-const timeOfDay = "15:04:05.000"
+const timeLayout = "15:04:05.000"
 
 // Format implements logrus.Formatter.
-func (lineFormat) Format(entry *logrus.Entry) ([]byte, error) {
+func (lineFormatter) Format(entry *logrus.Entry) ([]byte, error) {
 	line := entry.Buffer
 	if line == nil {
 		line = &bytes.Buffer{}
 	}
-	line.Write(entry.Time.AppendFormat(line.AvailableBuffer(), timeOfDay))
+	line.Write(entry.Time.AppendFormat(line.AvailableBuffer(), timeLayout))
 	line.WriteByte(' ')
-	line.WriteString(levelMark(entry.Level))
+	line.WriteString(levelName(entry.Level))
 	line.WriteByte(' ')
 	line.WriteString(oneLine(entry.Message))
 	for _, name := range fieldNames(entry.Data) {
@@ -34,7 +34,7 @@
 	return line.Bytes(), nil
 }
 
-func levelMark(level logrus.Level) string {
+func levelName(level logrus.Level) string {
 	switch level {
 	case logrus.WarnLevel:
 		return "warn"
@@ -68,7 +68,7 @@
 func newLog(output io.Writer) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(output)
-	log.SetFormatter(lineFormat{})
+	log.SetFormatter(lineFormatter{})
 	log.SetLevel(logrus.InfoLevel)
 	return log
 }
--- a/cmd/eidersystem/log_test.go
+++ b/cmd/eidersystem/log_test.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-func TestEntryIsOneShortLine(t *testing.T) {
+func TestLogEntryIsOneLine(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	log := newLog(&output)
--- a/cmd/eidersystem/main.go
+++ b/cmd/eidersystem/main.go
@@ -1,4 +1,4 @@
-// Command eidersystem is a process of the system: a gateway or a controller, by what its settings file says.
+// Command eidersystem runs a gateway or a controller, as its settings file says, and has commands for operators.
 package main
 
 import (
@@ -16,9 +16,9 @@
 
 // Exit codes.
 const (
-	exitInOrder   = 0
-	exitBadUse    = 1 // bad settings or use, or something that the machine refused
-	exitInvariant = 2 // a state that can't be, or a damaged one on disk; also what the Go runtime ends a panic with
+	exitOK        = 0
+	exitFailure   = 1 // bad settings or arguments, or an error of the operating system
+	exitInvariant = 2 // a broken invariant or a damaged state file; the Go runtime exits with the same code after a panic
 )
 
 func main() {
@@ -26,7 +26,7 @@
 }
 
 func execute(ctx context.Context, arguments []string) int {
-	err := root().ParseAndRun(ctx, arguments)
+	err := rootCommand().ParseAndRun(ctx, arguments)
 	if err != nil && !errors.Is(err, flag.ErrHelp) {
 		fmt.Fprintln(os.Stderr, "eidersystem:", err)
 	}
@@ -36,25 +36,25 @@
 func exitCode(err error) int {
 	switch {
 	case err == nil:
-		return exitInOrder
+		return exitOK
 	case errors.Is(err, system.ErrInvariant), store.IsDamage(err):
 		return exitInvariant
 	}
-	return exitBadUse
+	return exitFailure
 }
 
-func root() *ffcli.Command {
+func rootCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name:        "eidersystem",
 		ShortUsage:  "eidersystem <subcommand>",
 		FlagSet:     newFlagSet("eidersystem"),
 		Subcommands: []*ffcli.Command{runCommand(), checkCommand(), stateCommand(), serviceCommand(), demoCommand(), versionCommand()},
-		Exec:        helpOnly,
+		Exec:        showHelp,
 	}
 }
 
-// newFlagSet returns errors in place of ending the process, so that execute chooses the exit code.
+// newFlagSet makes flag errors return instead of ending the process, so that execute chooses the exit code.
 func newFlagSet(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
 
-// helpOnly is for commands that need a subcommand.
-func helpOnly(context.Context, []string) error { return flag.ErrHelp }
+// showHelp is the action of commands that need a subcommand.
+func showHelp(context.Context, []string) error { return flag.ErrHelp }
--- a/cmd/eidersystem/main_test.go
+++ b/cmd/eidersystem/main_test.go
@@ -20,8 +20,8 @@
 	"eiderway/testing/loopback"
 )
 
-// patience bounds waits for what must come about; no test waits this long unless it fails.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait for a condition; no test waits this long unless it fails.
+const waitTimeout = 20 * time.Second
 
 func writeSettings(t *testing.T, contents string) string {
 	t.Helper()
@@ -45,25 +45,25 @@
 
 func TestExitCodes(t *testing.T) {
 	is := is.New(t)
-	is.Equal(exitCode(nil), exitInOrder)
-	is.Equal(exitCode(eris.New("address in use")), exitBadUse)
+	is.Equal(exitCode(nil), exitOK)
+	is.Equal(exitCode(eris.New("address in use")), exitFailure)
 	is.Equal(exitCode(eris.Wrap(system.ErrInvariant, "two primaries")), exitInvariant)
 
-	sound := `{"routerName": "g", "serves": ["edge"], "ipAddress": "127.0.0.1", "zone": "z", "internalPortRange": [1, 2],
+	validSettings := `{"routerName": "g", "serves": ["edge"], "ipAddress": "127.0.0.1", "zone": "z", "internalPortRange": [1, 2],
 		"listenAddrs": {"front": "127.0.0.1:1", "readiness": "127.0.0.1:2"}}`
-	path := writeSettings(t, sound)
-	is.Equal(execute(t.Context(), []string{"check"}), exitInOrder) // the file of the variable
-	is.Equal(execute(t.Context(), []string{"check", path}), exitInOrder)
-	is.Equal(execute(t.Context(), []string{"check", path, path}), exitBadUse)
-	is.Equal(execute(t.Context(), []string{"version"}), exitInOrder)
+	path := writeSettings(t, validSettings)
+	is.Equal(execute(t.Context(), []string{"check"}), exitOK) // the file that the environment variable names
+	is.Equal(execute(t.Context(), []string{"check", path}), exitOK)
+	is.Equal(execute(t.Context(), []string{"check", path, path}), exitFailure)
+	is.Equal(execute(t.Context(), []string{"version"}), exitOK)
 	for _, wrong := range [][]string{{}, {"serve"}, {"run", "here"}, {"state"}, {"state", "check"}, {"state", "check", path + ".none"}} {
-		is.Equal(execute(t.Context(), wrong), exitBadUse)
+		is.Equal(execute(t.Context(), wrong), exitFailure)
 	}
 	writeSettings(t, `{"serves": ["edge"]}`)
-	is.Equal(execute(t.Context(), []string{"run"}), exitBadUse)
+	is.Equal(execute(t.Context(), []string{"run"}), exitFailure)
 }
 
-func TestProcessServesOneKindOfCallers(t *testing.T) {
+func TestProcessHasExactlyOneRole(t *testing.T) {
 	is := is.New(t)
 	_, err := roleOf(system.Settings{Serves: []string{system.ServesEdge, system.ServesControlPlane}})
 	is.True(err != nil)
@@ -74,43 +74,43 @@
 	is.Equal(role, controllerRole)
 }
 
-// TestControllerRunsUntilTerminated founds a core of one on an empty disk, has it take an order, ends it by SIGTERM, and
-// reads what is left.
+// TestControllerRunsUntilTerminated starts a single controller on an empty disk, has it take a configuration, ends it with
+// SIGTERM, and checks the state file that it leaves.
 func TestControllerRunsUntilTerminated(t *testing.T) {
 	is := is.New(t)
 	control, data := freeAddress(t), t.TempDir()
 	writeSettings(t, fmt.Sprintf(`{"routerName": "c", "serves": ["control_plane"], "ipAddress": "127.0.0.1", "zone": "z",
 		"internalPortRange": [%s, 65535], "listenAddrs": {"control": %q}, "seedPeers": [%q], "firstStart": true,
 		"dataDir": %q}`, freePort(t), control, control, data))
-	ended := make(chan int, 1)
+	exited := make(chan int, 1)
 	admin := filepath.Join(t.TempDir(), "admin")
-	go func() { ended <- execute(t.Context(), []string{"run", "--admin", admin}) }()
+	go func() { exited <- execute(t.Context(), []string{"run", "--admin", admin}) }()
 
-	waitFor(t, "an acknowledgement", ended, func() bool { return statusOfOrder("http://"+control+"/config/replace") == http.StatusOK })
+	waitFor(t, "an acknowledgement", exited, func() bool { return statusOfConfiguration("http://"+control+"/config/replace") == http.StatusOK })
 	is.Equal(statusOf("http://"+control+"/config/fetch"), http.StatusOK)
-	refusedGiveUps(t, admin)
+	checkRefusedGiveUps(t, admin)
 	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	is.Equal(endOf(t, ended), exitInOrder)
+	is.Equal(awaitExit(t, exited), exitOK)
 
 	state := filepath.Join(data, store.FileName)
-	is.Equal(execute(t.Context(), []string{"state", "check", state}), exitInOrder)
-	is.Equal(execute(t.Context(), []string{"state", "dump", state}), exitInOrder)
+	is.Equal(execute(t.Context(), []string{"state", "check", state}), exitOK)
+	is.Equal(execute(t.Context(), []string{"state", "dump", state}), exitOK)
 	is.NoErr(os.Truncate(state, 100))
 	is.Equal(execute(t.Context(), []string{"state", "check", state}), exitInvariant)
 }
 
-// refusedGiveUps asks a running controller to give up what must not be: each refusal is one line that says why.
-func refusedGiveUps(t *testing.T, admin string) {
+// checkRefusedGiveUps sends requests to give up a service that a running controller must refuse, and checks the reasons.
+func checkRefusedGiveUps(t *testing.T, admin string) {
 	t.Helper()
-	for _, one := range []struct{ typed, by, says string }{
+	for _, refused := range []struct{ typed, by, reason string }{
 		{"other\n", "ann", "another one"},
 		{"", "ann", "not typed again"},
 		{"orders\n", "", "who asks"},
 		{"orders\n", "ann", "no service orders"},
 	} {
-		err := giveUp(t.Context(), admin, "orders", one.by, strings.NewReader(one.typed), io.Discard)
-		if err == nil || !strings.Contains(err.Error(), one.says) {
-			t.Errorf("typed %q by %q: %v, which doesn't say %q", one.typed, one.by, err, one.says)
+		err := giveUp(t.Context(), admin, "orders", refused.by, strings.NewReader(refused.typed), io.Discard)
+		if err == nil || !strings.Contains(err.Error(), refused.reason) {
+			t.Errorf("typed %q by %q: error %v lacks %q", refused.typed, refused.by, err, refused.reason)
 		}
 	}
 	info, err := os.Stat(admin)
@@ -119,19 +119,19 @@
 	}
 }
 
-// TestGatewayRunsUntilTerminated starts a gateway whose seed isn't there: it is up, but not ready.
+// TestGatewayRunsUntilTerminated starts a gateway whose seed controller doesn't run: the gateway is up, but not ready.
 func TestGatewayRunsUntilTerminated(t *testing.T) {
 	is := is.New(t)
 	readiness := freeAddress(t)
 	writeSettings(t, fmt.Sprintf(`{"routerName": "g", "serves": ["edge"], "ipAddress": "127.0.0.1", "zone": "z",
 		"internalPortRange": [%s, 65535], "listenAddrs": {"front": %q, "readiness": %q}, "seedPeers": [%q]}`,
 		freePort(t), freeAddress(t), readiness, freeAddress(t)))
-	ended := make(chan int, 1)
-	go func() { ended <- execute(t.Context(), []string{"run"}) }()
+	exited := make(chan int, 1)
+	go func() { exited <- execute(t.Context(), []string{"run"}) }()
 
-	waitFor(t, "an answer", ended, func() bool { return statusOf("http://"+readiness+"/readiness") == http.StatusServiceUnavailable })
+	waitFor(t, "an answer", exited, func() bool { return statusOf("http://"+readiness+"/readiness") == http.StatusServiceUnavailable })
 	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	is.Equal(endOf(t, ended), exitInOrder)
+	is.Equal(awaitExit(t, exited), exitOK)
 }
 
 func newCaller() *http.Client {
@@ -140,9 +140,9 @@
 
 func statusOf(url string) int { return status(newCaller().Get(url)) }
 
-func statusOfOrder(url string) int {
-	const order = `{"configRevision": 3, "routeTable": [], "serviceTable": [], "limits": {}}`
-	return status(newCaller().Post(url, "application/json", strings.NewReader(order)))
+func statusOfConfiguration(url string) int {
+	const configuration = `{"configRevision": 3, "routeTable": [], "serviceTable": [], "limits": {}}`
+	return status(newCaller().Post(url, "application/json", strings.NewReader(configuration)))
 }
 
 func status(answer *http.Response, err error) int {
@@ -153,13 +153,13 @@
 	return answer.StatusCode
 }
 
-// waitFor waits until the condition holds, while the process runs.
-func waitFor(t *testing.T, what string, ended <-chan int, holds func() bool) {
+// waitFor waits until the condition holds, and fails if the process exits before, or if the time runs out.
+func waitFor(t *testing.T, what string, exited <-chan int, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
 		select {
-		case code := <-ended:
-			t.Fatalf("ended with %d while waiting for %s", code, what)
+		case code := <-exited:
+			t.Fatalf("exited with %d while waiting for %s", code, what)
 		default:
 		}
 		if time.Now().After(deadline) {
@@ -168,12 +168,12 @@
 	}
 }
 
-func endOf(t *testing.T, ended <-chan int) int {
+func awaitExit(t *testing.T, exited <-chan int) int {
 	t.Helper()
 	select {
-	case code := <-ended:
+	case code := <-exited:
 		return code
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("did not end")
 		return 0
 	}
--- a/cmd/eidersystem/role.go
+++ b/cmd/eidersystem/role.go
@@ -6,7 +6,7 @@
 	"eiderway/system"
 )
 
-// role is what a process does.
+// role is the part that a process has in the system.
 type role string
 
 const (
--- a/cmd/eidersystem/service.go
+++ b/cmd/eidersystem/service.go
@@ -25,7 +25,7 @@
 		ShortUsage:  "eidersystem service give-up --admin PATH NAME",
 		ShortHelp:   "Decide about a service, at the running controller that is primary, on its machine.",
 		FlagSet:     newFlagSet("service"),
-		Exec:        helpOnly,
+		Exec:        showHelp,
 		Subcommands: []*ffcli.Command{giveUpCommand()},
 	}
 }
@@ -62,15 +62,15 @@
 	return current.Username
 }
 
-// giveUp asks for the name once more, then the controller.
+// giveUp has the operator type the name of the service again, and then sends the request to the controller.
 func giveUp(ctx context.Context, socket, service, by string, in io.Reader, out io.Writer) error {
 	fmt.Fprintf(out, "What the lost copies of %s may have held will be gone. Type the name of the service again: ", service)
 	line, err := bufio.NewReader(in).ReadString('\n')
 	if err != nil && line == "" {
 		return eris.New("service give-up: the name was not typed again; nothing was done")
 	}
-	asked := host.GiveUpRequest{Service: service, Typed: strings.TrimSpace(line), By: by}
-	body, err := json.Marshal(asked)
+	request := host.GiveUpRequest{Service: service, Typed: strings.TrimSpace(line), By: by}
+	body, err := json.Marshal(request)
 	if err != nil {
 		return eris.Wrap(err, "service give-up")
 	}
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// callAdmin makes a call over the socket file.
+// callAdmin posts to the controller over its admin socket, and returns the body of the answer.
 func callAdmin(ctx context.Context, socket, path string, body []byte) (string, error) {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", socket)
--- a/cmd/eidersystem/state.go
+++ b/cmd/eidersystem/state.go
@@ -16,7 +16,7 @@
 		ShortUsage: "eidersystem state <check|dump|restore> PATH",
 		ShortHelp:  "Look at, or restore, what a controller has on its disk, while it doesn't run.",
 		FlagSet:    newFlagSet("state"),
-		Exec:       helpOnly,
+		Exec:       showHelp,
 		Subcommands: []*ffcli.Command{
 			stateSubcommand("check", "Check that the file is whole, and say what it holds.", checkState),
 			stateSubcommand("dump", "Write what the file holds to standard output, as lines of JSON.", dumpState),
