--- a/testing/loopback/loopback.go
+++ b/testing/loopback/loopback.go
@@ -1,10 +1,10 @@
-// Package loopback hands out ports and networks on loopback to tests, demonstrations and trials, for servers that are
-// started later or more than once, perhaps by another process.
+// Package loopback reserves ports and networks on the loopback interface for tests, demos and trials whose servers start
+// later or more than once, perhaps in another process.
 //
-// To draw a free port, close it and hand its number on is a race: the system gives such a port to the next one who asks,
-// or to a connection that goes out. So ports come from below the range that the system gives out by itself, and each is
-// guarded for as long as it is reserved: the reserving process listens on the same port of an address that is used for
-// nothing else. Whoever reserves ports with this package, in any process, passes over what is guarded.
+// Listening on port 0, closing the listener and passing its number on is a race: the operating system may give the port to
+// the next listener or to an outgoing connection. So ports are taken from below the ephemeral range, and each is guarded
+// while it is reserved: the reserving process listens on the same port of an address that is used for nothing else. Every
+// process that reserves ports with this package skips the guarded ones.
 package loopback
 
 import (
@@ -16,20 +16,20 @@
 )
 
 const (
-	// host is where most servers of tests listen.
+	// host is the address on which most test servers listen.
 	host = "127.0.0.1"
-	// guardHost is the address on which reserved ports are guarded. Networks that are handed out never contain it.
+	// guardHost is the address on which reserved ports are guarded. No reserved network contains it.
 	guardHost = "127.255.255.254"
-	// Ports lie below those that the system gives to connections that go out and to listeners without a port.
+	// Reserved ports lie below the ephemeral range, from which the operating system assigns ports by itself.
 	firstPort = 10_000
-	manyPorts = 20_000
-	// guardPort is where a reserved network is guarded, on its first address.
-	guardPort = 1023 + firstPort
-	networks  = 250 // as many values of the second and third number of an address are used for networks
-	tries     = 200
+	portCount = 20_000
+	// guardPort is the port on which a reserved network is guarded, at its first address.
+	guardPort         = 1023 + firstPort
+	networkByteValues = 250 // values of the second and of the third byte of an address that reserved networks use
+	maxAttempts       = 200
 )
 
-// Test is what a reservation needs of a test.
+// Test is the part of testing.TB that a reservation needs.
 type Test interface {
 	Helper()
 	Fatal(arguments ...any)
@@ -42,19 +42,19 @@
 	guard  net.Listener
 }
 
-// Address is that of the port on 127.0.0.1.
+// Address returns the address of the port on 127.0.0.1.
 func (p Port) Address() string { return address(host, p.Number) }
 
 // Release ends the reservation.
 func (p Port) Release() { _ = p.guard.Close() }
 
-// ReservePort reserves a port that is free on these addresses, by TCP and by UDP; on 127.0.0.1 if there are none.
+// ReservePort reserves a port that is free for TCP and UDP on all of the hosts, or on 127.0.0.1 if none is given.
 func ReservePort(hosts ...string) (Port, error) {
 	if len(hosts) == 0 {
 		hosts = []string{host}
 	}
-	for range tries {
-		number := firstPort + rand.N(manyPorts)
+	for range maxAttempts {
+		number := firstPort + rand.N(portCount)
 		guard, err := net.Listen("tcp4", address(guardHost, number))
 		if err != nil {
 			continue
@@ -68,13 +68,13 @@
 }
 
 func isFree(number int, hosts []string) bool {
-	for _, each := range hosts {
-		stream, err := net.Listen("tcp4", address(each, number))
+	for _, host := range hosts {
+		stream, err := net.Listen("tcp4", address(host, number))
 		if err != nil {
 			return false
 		}
 		_ = stream.Close()
-		datagrams, err := net.ListenPacket("udp4", address(each, number))
+		datagrams, err := net.ListenPacket("udp4", address(host, number))
 		if err != nil {
 			return false
 		}
@@ -96,25 +96,25 @@
 	return port
 }
 
-// Network is a reserved part of the loopback network, of 254 addresses.
+// Network is a reserved part of the loopback network, with 254 addresses.
 type Network struct {
-	prefix string // three numbers
+	prefix string // the first three bytes of its addresses, such as 127.3.4
 	guard  net.Listener
 }
 
-// Host is one of the network's, by its last number from 2 on.
+// Host returns the address with this last byte. The first address, 1, is the guard's: hosts begin at 2.
 func (n Network) Host(last int) string { return fmt.Sprintf("%s.%d", n.prefix, last) }
 
-// Address is a port of such a host.
+// Address returns the address of a port of such a host.
 func (n Network) Address(last, port int) string { return address(n.Host(last), port) }
 
 // Release ends the reservation.
 func (n Network) Release() { _ = n.guard.Close() }
 
-// ReserveNetwork reserves a network.
+// ReserveNetwork reserves a network that no other process has reserved.
 func ReserveNetwork() (Network, error) {
-	for range tries {
-		found := Network{prefix: fmt.Sprintf("127.%d.%d", 1+rand.N(networks), 1+rand.N(networks))}
+	for range maxAttempts {
+		found := Network{prefix: fmt.Sprintf("127.%d.%d", 1+rand.N(networkByteValues), 1+rand.N(networkByteValues))}
 		guard, err := net.Listen("tcp4", found.Address(1, guardPort))
 		if err != nil {
 			continue
--- a/testing/loopback/loopback_test.go
+++ b/testing/loopback/loopback_test.go
@@ -7,32 +7,32 @@
 	"github.com/matryer/is"
 )
 
-// Whoever reserves passes over what another one has, even before anybody listens there.
-func TestReservedPortsAreGivenOnce(t *testing.T) {
+// A reserved port isn't reserved a second time, even while no server listens on it.
+func TestPortIsReservedOnlyOnce(t *testing.T) {
 	is := is.New(t)
-	const many = 300
-	given := map[int]bool{}
-	for range many {
+	const count = 300
+	reserved := map[int]bool{}
+	for range count {
 		port := ReserveForTest(t)
-		is.True(!given[port.Number])
-		given[port.Number] = true
-		is.True(port.Number < 32_768) // where ports begin that systems give out
+		is.True(!reserved[port.Number])
+		reserved[port.Number] = true
+		is.True(port.Number < 32_768) // start of the ephemeral range on Linux
 	}
 }
 
-func TestReservedPortCanBeUsedAgainAndAgain(t *testing.T) {
+func TestReservedPortCanBeListenedOnRepeatedly(t *testing.T) {
 	is := is.New(t)
 	port := ReserveForTest(t, "127.0.0.1", "127.0.0.2")
 	for range 3 {
-		for _, each := range []string{"127.0.0.1", "127.0.0.2"} {
-			listener, err := net.Listen("tcp4", address(each, port.Number))
+		for _, host := range []string{"127.0.0.1", "127.0.0.2"} {
+			listener, err := net.Listen("tcp4", address(host, port.Number))
 			is.NoErr(err)
 			is.NoErr(listener.Close())
 		}
 	}
 }
 
-func TestPortInUseIsPassedOver(t *testing.T) {
+func TestPortInUseIsNotFree(t *testing.T) {
 	is := is.New(t)
 	port := ReserveForTest(t)
 	datagrams, err := net.ListenPacket("udp4", port.Address())
@@ -46,14 +46,14 @@
 	is.True(isFree(port.Number, []string{host}))
 }
 
-func TestNetworksAreGivenOnce(t *testing.T) {
+func TestNetworkIsReservedOnlyOnce(t *testing.T) {
 	is := is.New(t)
-	given := map[string]bool{}
+	reserved := map[string]bool{}
 	for range 50 {
 		network, err := ReserveNetwork()
 		is.NoErr(err)
 		t.Cleanup(network.Release)
-		is.True(!given[network.prefix])
-		given[network.prefix] = true
+		is.True(!reserved[network.prefix])
+		reserved[network.prefix] = true
 	}
 }
--- a/testing/scenario/scenario.go
+++ b/testing/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario reads the text scenarios that tests play: one command a line, # begins a remark.
+// Package scenario reads the scenario files of tests. Each line holds one command; a # begins a comment.
 package scenario
 
 import (
@@ -13,12 +13,12 @@
 
 // Line is one command.
 type Line struct {
-	Location string // file, number and text, for what is said of it
-	Text     string // without the remark
+	Location string // file, line number and text, for failure messages
+	Text     string // without the comment
 	Words    []string
 }
 
-// Each plays every scenario in testdata as a test of its own, and fails where there is none.
+// Each runs play as a subtest for each scenario file in testdata, and fails if there is none.
 func Each(t *testing.T, play func(t *testing.T, path string)) {
 	t.Helper()
 	paths, err := filepath.Glob("testdata/*.txt")
@@ -30,7 +30,7 @@
 	}
 }
 
-// Read reads the commands of a file.
+// Read returns the commands of a scenario file.
 func Read(path string) ([]Line, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return lines, nil
 }
 
-// MustRead is Read for a test.
+// MustRead is like Read, but ends the test if the file can't be read.
 func MustRead(t testing.TB, path string) []Line {
 	t.Helper()
 	lines, err := Read(path)
@@ -57,7 +57,8 @@
 	return lines
 }
 
-// ParseInt reads a whole number. A scenario that can't be read is a mistake in it, so this panics, as do ParseFloat and ParseDuration.
+// ParseInt parses an integer. A malformed number is a mistake in the scenario file, so ParseInt panics, as do ParseFloat and
+// ParseDuration.
 func ParseInt(word string) int {
 	value, err := strconv.Atoi(word)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return value
 }
 
-// ParseFloat reads a number such as 0.3.
+// ParseFloat parses a number such as 0.3.
 func ParseFloat(word string) float64 {
 	value, err := strconv.ParseFloat(word, 64)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return value
 }
 
-// ParseDuration reads a duration such as 300ms.
+// ParseDuration parses a duration such as 300ms.
 func ParseDuration(word string) time.Duration {
 	value, err := time.ParseDuration(word)
 	if err != nil {
--- a/testing/scenario/scenario_test.go
+++ b/testing/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRead(t *testing.T) {
+func TestReadSkipsCommentsAndBlankLines(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "one.txt")
 	is.NoErr(os.WriteFile(path, []byte("# remark\nkill a  # why\n\n  wait 2s\n"), 0o600))
--- a/testing/virtualtime/links.go
+++ b/testing/virtualtime/links.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Link is one way between two machines: from, to.
+// Link is one direction of the connection between two machines: from, to.
 type Link [2]string
 
-// Links tells which links are cut.
+// Links holds, for each link, whether it is cut. A link that is missing is intact.
 type Links map[Link]bool
 
-// Set cuts or joins what a scenario names: A>B is one way, A-B both ways.
+// Set cuts or restores the links that a scenario names: A>B means one direction, A-B both.
 func (l Links) Set(name string, cut bool) {
 	from, to, oneWay := strings.Cut(name, ">")
 	if !oneWay {
@@ -21,7 +21,7 @@
 	l[Link{from, to}] = cut
 }
 
-// Isolate cuts some machines from all others, both ways.
+// Isolate cuts the links between some machines and all others, in both directions. Links among these machines stay intact.
 func (l Links) Isolate(some, all []string) {
 	for _, one := range all {
 		for _, other := range all {
--- a/testing/virtualtime/virtualtime_test.go
+++ b/testing/virtualtime/virtualtime_test.go
@@ -30,7 +30,7 @@
 	is.Equal(at, time.Duration(3))
 }
 
-func TestLinks(t *testing.T) {
+func TestLinksCutAsNamed(t *testing.T) {
 	is := is.New(t)
 	links := Links{}
 	links.Set("a>b", true)
