--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -314,7 +314,7 @@
 
 func (s *soak) crashInstance() {
 	one := s.anyInstance()
-	if one.HasEnded() {
+	if one.HasLeft() {
 		return
 	}
 	s.last(one.ID(), "crashed", one.Crash, func() { _ = one.Restart() }) // one that has left meanwhile stays away
@@ -336,7 +336,7 @@
 // endInstance has an instance drain, or leave without.
 func (s *soak) endInstance() {
 	one := s.anyInstance()
-	if one.HasEnded() || s.busy[one.ID()] {
+	if one.HasLeft() || s.busy[one.ID()] {
 		return
 	}
 	if s.random.IntN(2) == 0 {
@@ -351,7 +351,7 @@
 func (s *soak) presentInstances() []*testinstance.Instance {
 	var present []*testinstance.Instance
 	for _, one := range s.instances {
-		if !one.HasEnded() {
+		if !one.HasLeft() {
 			present = append(present, one)
 		}
 	}
@@ -369,7 +369,7 @@
 // succeed starts a replica in the place of each instance that has left, with its log.
 func (s *soak) succeed() {
 	for index, gone := range s.instances {
-		if !gone.HasEnded() {
+		if !gone.HasLeft() {
 			continue
 		}
 		id := fmt.Sprintf("db-%d", s.named)
--- a/systemtest/workload/client.go
+++ b/systemtest/workload/client.go
@@ -150,7 +150,7 @@
 	var writes []testinstance.Write
 	for range count {
 		c.written++
-		writes = append(writes, testinstance.Write{Thing: c.thing(), Data: fmt.Sprintf("d%d.%d", c.number, c.written)})
+		writes = append(writes, testinstance.Write{Key: c.thing(), Data: fmt.Sprintf("d%d.%d", c.number, c.written)})
 	}
 	return writes
 }
@@ -181,9 +181,9 @@
 
 func (c *client) putText(write testinstance.Write) string {
 	if c.random.IntN(sharePrepared) == 0 {
-		return executePut + write.Thing + " " + write.Data
+		return executePut + write.Key + " " + write.Data
 	}
-	return string(wire.Put) + " " + write.Thing + " " + write.Data
+	return string(wire.Put) + " " + write.Key + " " + write.Data
 }
 
 // connect opens a session at one of the gateways.
--- a/systemtest/workload/judge.go
+++ b/systemtest/workload/judge.go
@@ -141,7 +141,7 @@
 // promotedHoldAcknowledged: whoever is promoted has all that clients knew by then to be committed.
 func (j *judge) promotedHoldAcknowledged() {
 	writes := j.acknowledgedWrites()
-	for _, promote := range j.Journal.Promotes {
+	for _, promote := range j.Journal.Promotions {
 		for _, write := range writes {
 			if write.Answered.Before(promote.At) && !promote.Log.Holds(j.positionOf(write)) {
 				j.report("LOST", "%s was promoted to term %d without %s", promote.Instance, promote.Term, write.ID)
@@ -184,8 +184,8 @@
 
 // onePrimary: what is committed at an old primary after a promote isn't acknowledged.
 func (j *judge) onePrimary() {
-	promotes := slices.Clone(j.Journal.Promotes)
-	slices.SortStableFunc(promotes, func(one, other testinstance.Promote) int { return cmp.Compare(one.Term, other.Term) })
+	promotes := slices.Clone(j.Journal.Promotions)
+	slices.SortStableFunc(promotes, func(one, other testinstance.Promotion) int { return cmp.Compare(one.Term, other.Term) })
 	for _, write := range j.acknowledgedWrites() {
 		ran := j.stamps[write.Stamp]
 		for _, promote := range promotes {
--- a/systemtest/workload/judge_test.go
+++ b/systemtest/workload/judge_test.go
@@ -20,7 +20,7 @@
 	return testinstance.Entry{
 		Position: failover.Position{Term: term, Number: number},
 		ID:       id,
-		Writes:   []testinstance.Write{{Thing: "t", Data: data}},
+		Writes:   []testinstance.Write{{Key: "t", Data: data}},
 	}
 }
 
@@ -37,7 +37,7 @@
 			{ID: "s4", Text: "PUT t z", Began: at(6), Answered: at(7), Outcome: NotKept, Code: "BUSY", Writes: entry(0, 0, "", "z").Writes},
 		},
 		Journal: testinstance.Journal{
-			Promotes: []testinstance.Promote{{Instance: "one", Term: 1, At: at(0)}, {Instance: "two", Term: 2, At: at(3), Log: early}},
+			Promotions: []testinstance.Promotion{{Instance: "one", Term: 1, At: at(0)}, {Instance: "two", Term: 2, At: at(3), Log: early}},
 			Executions: []testinstance.Execution{
 				{ID: "s1", Text: "PUT t x", Instance: "one", Term: 1, Stamp: "a", Log: early, Wrote: true, At: at(1)},
 				{ID: "s2", Text: "EXECUTE p7 t y", Instance: "two", Term: 2, Stamp: "b", Log: final, Wrote: true, At: at(4)},
@@ -61,7 +61,7 @@
 			e.Journal.Executions[2].First = true
 		}},
 		"an acknowledged write is gone":  {"LOST", func(e *Evidence) { e.Final = e.Final[:1] }},
-		"a promote without it":           {"LOST", func(e *Evidence) { e.Journal.Promotes[1].Log = nil }},
+		"a promote without it":           {"LOST", func(e *Evidence) { e.Journal.Promotions[1].Log = nil }},
 		"a write is kept twice":          {"TWICE", func(e *Evidence) { e.Final = append(e.Final[:2:2], entry(2, 3, "s2", "y")) }},
 		"a refused write is kept":        {"REFUSED", func(e *Evidence) { e.Final = append(e.Final[:2:2], entry(2, 3, "s4", "z")) }},
 		"other data are kept":            {"UNASKED", func(e *Evidence) { e.Final = testinstance.Log{e.Final[0], entry(2, 2, "s2", "v")} }},
--- a/systemtest/workload/session.go
+++ b/systemtest/workload/session.go
@@ -41,7 +41,7 @@
 
 // Put writes, within the open transaction if there is one.
 func (s *Session) Put(thing, data string) Statement {
-	write := testinstance.Write{Thing: thing, Data: data}
+	write := testinstance.Write{Key: thing, Data: data}
 	text := string(wire.Put) + " " + thing + " " + data
 	if s.inside {
 		s.pending = append(s.pending, write)
--- a/systemtest/workload/tenant_judge.go
+++ b/systemtest/workload/tenant_judge.go
@@ -74,7 +74,7 @@
 		keys[statement.Key] = true
 	}
 	for _, connected := range j.Journal.Connected {
-		if keys[connected.Who] {
+		if keys[connected.User] {
 			j.report("UNASKED", "%s was told a key at CONNECT", connected.Instance)
 		}
 	}
@@ -90,10 +90,10 @@
 		switch ever, now := j.holders(asked, ran); {
 		case len(ever) == 0:
 			j.report("ROUTE", "%s ran %s with a key that nobody ever held", ran.Instance, ran.ID)
-		case !slices.Contains(ever, ran.Who):
-			j.report("UNASKED", "%s ran %s for %q, its key is that of %q", ran.Instance, ran.ID, ran.Who, ever)
-		case !slices.Contains(now, ran.Who):
-			j.report("CONFIG", "%s ran %s, sent at %v, for %q, from whom its key had been taken away", ran.Instance, ran.ID, asked.Sent, ran.Who)
+		case !slices.Contains(ever, ran.User):
+			j.report("UNASKED", "%s ran %s for %q, its key is that of %q", ran.Instance, ran.ID, ran.User, ever)
+		case !slices.Contains(now, ran.User):
+			j.report("CONFIG", "%s ran %s, sent at %v, for %q, from whom its key had been taken away", ran.Instance, ran.ID, asked.Sent, ran.User)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 		if !known {
 			continue
 		}
-		at := owner{ran.Who, asked.Try}
+		at := owner{ran.User, asked.Try}
 		if one, present := found[at]; !present || ran.At.Before(one.ran) {
 			found[at] = operation{sent: asked.Began, ran: ran.At}
 		}
--- a/systemtest/workload/tenant_judge_test.go
+++ b/systemtest/workload/tenant_judge_test.go
@@ -29,7 +29,7 @@
 		},
 		Rules:      TenantRules{Revoke: 4 * time.Second, Window: 5 * time.Second, Overrun: 0.1, Slack: 1},
 		LimitBinds: func(acknowledged time.Time) time.Time { return acknowledged.Add(8 * time.Second) },
-		Journal:    testinstance.Journal{Connected: []testinstance.Connected{{Who: "bakers"}, {Who: "smiths"}}},
+		Journal:    testinstance.Journal{Connected: []testinstance.Connected{{User: "bakers"}, {User: "smiths"}}},
 	}
 	evidence.run("flour", "bakers", 13)
 	evidence.run("rye", "bakers", 19)
@@ -46,7 +46,7 @@
 func (e *TenantEvidence) run(key, who string, second int) {
 	id := fmt.Sprintf("s%d", len(e.Statements))
 	e.Statements = append(e.Statements, Statement{ID: id, Try: id, Key: key, Began: at(second), Sent: at(second), Outcome: Done})
-	e.Journal.Executions = append(e.Journal.Executions, testinstance.Execution{ID: id, Who: who, At: at(second)})
+	e.Journal.Executions = append(e.Journal.Executions, testinstance.Execution{ID: id, User: who, At: at(second)})
 }
 
 func TestTenantJudgeSeesEachFault(t *testing.T) {
@@ -62,8 +62,8 @@
 		"another tenant's name":         {"UNASKED", func(e *TenantEvidence) { e.run("flour", "smiths", 2) }},
 		"a gateway's name":              {"UNASKED", func(e *TenantEvidence) { e.run("anvil", "gateway-0", 2) }},
 		"a tenant without a name":       {"UNASKED", func(e *TenantEvidence) { e.run("anvil", "", 2) }},
-		"a key at CONNECT":              {"UNASKED", func(e *TenantEvidence) { e.Journal.Connected[0].Who = "yeast" }},
-		"a stranger's word at CONNECT":  {"UNASKED", func(e *TenantEvidence) { e.Statements[0].Key, e.Journal.Connected[0].Who = "sand", "sand" }},
+		"a key at CONNECT":              {"UNASKED", func(e *TenantEvidence) { e.Journal.Connected[0].User = "yeast" }},
+		"a stranger's word at CONNECT":  {"UNASKED", func(e *TenantEvidence) { e.Statements[0].Key, e.Journal.Connected[0].User = "sand", "sand" }},
 		"a key that was taken away":     {"CONFIG", func(e *TenantEvidence) { e.run("flour", "bakers", 15) }},
 		"a key that has moved":          {"CONFIG", func(e *TenantEvidence) { e.run("rye", "bakers", 25) }},
 		"a lasting key that is refused": {"CONFIG", func(e *TenantEvidence) { e.Statements[6].Code = wire.AuthFail }},
--- a/systemtest/world_test.go
+++ b/systemtest/world_test.go
@@ -333,7 +333,7 @@
 	}
 	w.Logf("%d statements, %d writes acknowledged (longest wait %v), %d orders, %d reads of the configuration, %d promotes, %d calls to the platform",
 		len(w.history.Statements()), w.history.Acknowledged(), slices.Max(w.history.Waits()).Round(time.Millisecond),
-		len(w.orders.Placed()), len(w.orders.Fetched()), len(w.service.Journal().Promotes), len(w.platform.Calls()))
+		len(w.orders.Placed()), len(w.orders.Fetched()), len(w.service.Journal().Promotions), len(w.platform.Calls()))
 }
 
 // wait waits, unless the context ends.
--- a/testinstance/connection.go
+++ b/testinstance/connection.go
@@ -145,7 +145,7 @@
 	service := c.instance.service
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
-	service.journal.Connected = append(service.journal.Connected, Connected{Who: c.who, Instance: c.instance.id, At: time.Now()})
+	service.journal.Connected = append(service.journal.Connected, Connected{User: c.who, Instance: c.instance.id, At: time.Now()})
 }
 
 func (c *connection) refusalOf(connect wire.Connect) wire.Code {
--- a/testinstance/fault.go
+++ b/testinstance/fault.go
@@ -98,8 +98,8 @@
 	})
 }
 
-// HasEnded tells whether an instance has left for good.
-func (i *Instance) HasEnded() bool {
+// HasLeft tells whether an instance has left for good.
+func (i *Instance) HasLeft() bool {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
 	return i.left
--- a/testinstance/instance_test.go
+++ b/testinstance/instance_test.go
@@ -210,7 +210,7 @@
 	is.Equal(<-answered, "broken")
 	c.eventually("a follows", func() bool { return !a.Status().Primary && len(a.Log()) == 1 })
 	is.Equal(c.dial(b).ask("FETCH k"), "kept I")
-	is.Equal(len(c.service.Journal().Promotes), 2)
+	is.Equal(len(c.service.Journal().Promotions), 2)
 }
 
 func TestPauseStepDownAndCrash(t *testing.T) {
--- a/testinstance/journal.go
+++ b/testinstance/journal.go
@@ -7,7 +7,7 @@
 
 // Journal is what the instances of a service did, in the order in which they did it.
 type Journal struct {
-	Promotes   []Promote
+	Promotions []Promotion
 	Executions []Execution
 	Departures []Departure
 	Connected  []Connected
@@ -15,7 +15,7 @@
 
 // Connected is a connection that an instance has accepted.
 type Connected struct {
-	Who      string // as the caller named itself: the tenant for whom it runs statements, if there is one
+	User     string // as the caller named itself: the tenant for whom it runs statements, if there is one
 	Instance string
 	At       time.Time
 }
@@ -26,8 +26,8 @@
 	At       time.Time
 }
 
-// Promote is the beginning of a term.
-type Promote struct {
+// Promotion is the beginning of a term.
+type Promotion struct {
 	Instance string
 	Term     uint64
 	At       time.Time
@@ -45,7 +45,7 @@
 	Log      Log // after it
 	Wrote    bool
 	Caller   string // the process, as Settings.CallerOf or else the caller itself names it
-	Who      string // as the caller named itself when it connected
+	User     string // as the caller named itself when it connected
 	First    bool   // a single statement, or the first read or write of a transaction
 	At       time.Time
 }
@@ -55,7 +55,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return Journal{
-		Promotes:   slices.Clone(s.journal.Promotes),
+		Promotions: slices.Clone(s.journal.Promotions),
 		Executions: slices.Clone(s.journal.Executions),
 		Departures: slices.Clone(s.journal.Departures),
 		Connected:  slices.Clone(s.journal.Connected),
--- a/testinstance/log.go
+++ b/testinstance/log.go
@@ -7,7 +7,7 @@
 )
 
 // Write is one thing that a commit changes.
-type Write struct{ Thing, Data string }
+type Write struct{ Key, Data string }
 
 // Entry is one commit in a log.
 type Entry struct {
@@ -43,7 +43,7 @@
 func (l Log) read(thing string) (data string, found bool) {
 	for at := len(l) - 1; at >= 0; at-- {
 		for _, write := range l[at].Writes {
-			if write.Thing == thing {
+			if write.Key == thing {
 				return write.Data, true
 			}
 		}
--- a/testinstance/service.go
+++ b/testinstance/service.go
@@ -102,7 +102,7 @@
 		s.term = 1
 		s.leader = added
 		added.primary = true
-		s.journal.Promotes = append(s.journal.Promotes, Promote{Instance: id, Term: s.term, At: time.Now()})
+		s.journal.Promotions = append(s.journal.Promotions, Promotion{Instance: id, Term: s.term, At: time.Now()})
 	}
 	added.term = s.term
 	added.termHeld = s.term
@@ -198,7 +198,7 @@
 	target.paused = false
 	target.term = s.term
 	target.termHeld = max(target.termHeld, s.term)
-	s.journal.Promotes = append(s.journal.Promotes, Promote{Instance: id, Term: s.term, At: time.Now(), Log: target.log})
+	s.journal.Promotions = append(s.journal.Promotions, Promotion{Instance: id, Term: s.term, At: time.Now(), Log: target.log})
 	s.note("%s leads %s in term %d", id, s.settings.Name, s.term)
 	target.beatSoon()
 	s.announce()
--- a/testinstance/statements.go
+++ b/testinstance/statements.go
@@ -97,7 +97,7 @@
 // rowsOf is what a read of a thing returns: writes of the own transaction first.
 func (c *connection) rowsOf(log Log, thing string) []string {
 	for at := len(c.pending) - 1; at >= 0; at-- {
-		if c.pending[at].Thing == thing {
+		if c.pending[at].Key == thing {
 			return []string{c.pending[at].Data}
 		}
 	}
@@ -108,7 +108,7 @@
 }
 
 func (c *connection) put(request wire.Request, statement wire.Statement) (wire.Answer, error) {
-	write := Write{Thing: statement.Key, Data: statement.Data}
+	write := Write{Key: statement.Key, Data: statement.Data}
 	if c.state == wire.Idle {
 		return c.write(request, []Write{write}, true)
 	}
@@ -189,7 +189,7 @@
 	execution.Stamp = fmt.Sprintf("%d.%s.%x", execution.Term, execution.Instance, service.stamps)
 	execution.At = time.Now()
 	execution.First = first
-	execution.Caller, execution.Who = c.caller, c.who
+	execution.Caller, execution.User = c.caller, c.who
 	service.journal.Executions = append(service.journal.Executions, execution)
 	return execution.Stamp
 }
