--- a/cmd/eidersystem/main_test.go
+++ b/cmd/eidersystem/main_test.go
@@ -86,7 +86,9 @@
 	admin := filepath.Join(t.TempDir(), "admin")
 	go func() { exited <- execute(t.Context(), []string{"run", "--admin", admin}) }()
 
-	waitFor(t, "an acknowledgement", exited, func() bool { return statusOfConfiguration("http://"+control+"/config/replace") == http.StatusOK })
+	waitFor(t, "an acknowledgement", exited, func() bool {
+		return statusOfConfiguration("http://"+control+"/config/replace") == http.StatusOK
+	})
 	is.Equal(statusOf("http://"+control+"/config/fetch"), http.StatusOK)
 	checkRefusedGiveUps(t, admin)
 	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGTERM))
--- a/testinstance/connection.go
+++ b/testinstance/connection.go
@@ -10,23 +10,23 @@
 	"eiderway/wire"
 )
 
-// connection is one caller of an instance. Its session belongs to the goroutine that serves it.
+// connection is a caller's connection to an instance. Only the goroutine that serves it uses the session's state.
 type connection struct {
-	instance *Instance
-	who      string // as the caller names itself
-	caller   string // the process that it is: its name, until a client's statement tells better
-	network  net.Conn
-	ctx      context.Context
-	stop     context.CancelFunc
-	life     context.Context // of the instance's process
-
-	state     wire.State
-	prepared  map[string]wire.Statement
-	values    map[string]string
-	readOnly  bool    // of the open transaction
-	pending   []Write // of the open transaction
-	opened    bool    // the open transaction has run a read or a write
-	beganTerm uint64  // of the open transaction
+	instance    *Instance
+	user        string // from CONNECT
+	caller      string // the calling process: the user, until a statement's ID names the process
+	network     net.Conn
+	ctx         context.Context
+	stop        context.CancelFunc
+	instanceCtx context.Context // ends when the instance stops
+
+	state           wire.State
+	prepared        map[string]wire.Statement
+	values          map[string]string
+	readOnly        bool    // whether the open transaction is
+	pending         []Write // writes of the open transaction
+	hasOperation    bool    // whether the open transaction has run a read or a write
+	transactionTerm uint64  // in which the open transaction began
 }
 
 func (i *Instance) accept(ctx context.Context, listener net.Listener) {
@@ -35,7 +35,7 @@
 		if err != nil {
 			return
 		}
-		served := &connection{instance: i, network: network, state: wire.Idle, life: ctx}
+		served := &connection{instance: i, network: network, state: wire.Idle, instanceCtx: ctx}
 		served.ctx, served.stop = context.WithCancel(ctx)
 		served.reset()
 		if !i.admit(served) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// admit takes a connection in, unless the instance has ended meanwhile.
+// admit registers a connection, unless the instance has stopped meanwhile.
 func (i *Instance) admit(served *connection) bool {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
@@ -57,7 +57,7 @@
 	return true
 }
 
-// cut closes the connection under whoever uses it.
+// cut closes the connection, even while a goroutine uses it.
 func (c *connection) cut() {
 	c.stop()
 	_ = c.network.Close()
@@ -74,8 +74,8 @@
 	if err != nil {
 		return
 	}
-	c.who, c.caller = connect.User, connect.User
-	if !c.awaitJoin() || !c.open(connect) {
+	c.user, c.caller = connect.User, connect.User
+	if !c.awaitUncut() || !c.open(connect) {
 		return
 	}
 	for {
@@ -84,15 +84,15 @@
 			return
 		}
 		request, err := wire.ParseRequest(line)
-		c.recognise(request.ID)
-		if err != nil || request.Quit || !c.instance.awaitThaw(c.ctx) || !c.awaitJoin() {
+		c.identifyCaller(request.ID)
+		if err != nil || request.Quit || !c.instance.awaitThaw(c.ctx) || !c.awaitUncut() {
 			return
 		}
-		answer, err := c.take(request)
-		if err != nil || !c.instance.awaitThaw(c.ctx) || !c.awaitJoin() {
+		answer, err := c.execute(request)
+		if err != nil || !c.instance.awaitThaw(c.ctx) || !c.awaitUncut() {
 			return
 		}
-		if request.ID != wire.InternalID && happens(c.instance.service.currentFaults().LoseAnswers) {
+		if request.ID != wire.InternalID && occurs(c.instance.service.currentFaults().LoseAnswers) {
 			return
 		}
 		if _, err := c.network.Write(wire.AppendAnswer(nil, answer)); err != nil {
@@ -101,8 +101,8 @@
 	}
 }
 
-// recognise learns which process the caller is.
-func (c *connection) recognise(statementID string) {
+// identifyCaller finds out from a statement's ID which process the caller is.
+func (c *connection) identifyCaller(statementID string) {
 	callerOf := c.instance.service.settings.CallerOf
 	if callerOf == nil || statementID == "" || statementID == wire.InternalID {
 		return
@@ -119,13 +119,13 @@
 	delete(c.instance.connections, c)
 }
 
-// open answers CONNECT, and tells whether the connection goes on.
+// open answers CONNECT, and reports whether the connection stays open.
 func (c *connection) open(connect wire.Connect) bool {
 	if !c.instance.awaitThaw(c.ctx) {
 		return false
 	}
 	settings := c.instance.service.settings
-	refusal := c.refusalOf(connect)
+	refusal := c.connectRefusal(connect)
 	if refusal != "" {
 		_, _ = c.network.Write(wire.AppendError(nil, refusal, c.instance.id))
 		return false
@@ -145,10 +145,10 @@
 	service := c.instance.service
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
-	service.journal.Connected = append(service.journal.Connected, Connected{User: c.who, Instance: c.instance.id, At: time.Now()})
+	service.journal.Connected = append(service.journal.Connected, Connected{User: c.user, Instance: c.instance.id, At: time.Now()})
 }
 
-func (c *connection) refusalOf(connect wire.Connect) wire.Code {
+func (c *connection) connectRefusal(connect wire.Connect) wire.Code {
 	service := c.instance.service
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
@@ -180,11 +180,11 @@
 	c.prepared, c.values = map[string]wire.Statement{}, map[string]string{}
 }
 
-// errBroken ends a connection without an answer.
-var errBroken = eris.New("the connection breaks off")
+// errConnectionLost closes a connection without an answer.
+var errConnectionLost = eris.New("the connection was lost")
 
-// take runs a statement. The error ends the connection.
-func (c *connection) take(request wire.Request) (wire.Answer, error) {
+// execute executes a statement. An error closes the connection.
+func (c *connection) execute(request wire.Request) (wire.Answer, error) {
 	statement, err := wire.ParseInstanceStatement(request.Text)
 	if err != nil {
 		return c.fail(wire.Malformed, ""), nil
@@ -200,13 +200,13 @@
 		statement.Verb = prepared.Kind
 	}
 	if !needsSlot(statement.Verb) {
-		return c.takeQuick(statement), nil
+		return c.executeWithoutSlot(statement), nil
 	}
 	if !c.takeSlot() {
 		return c.fail(wire.Busy, ""), nil
 	}
 	c.work(c.instance.service.settings.Work)
-	c.freeSlot() // a commit that waits for a replica holds none
+	c.freeSlot() // a commit that waits for a replica holds no slot
 	return c.run(request, statement)
 }
 
@@ -218,7 +218,7 @@
 	return false
 }
 
-// fail answers with an ERROR; an open transaction has then failed.
+// fail returns an ERROR answer, and marks an open transaction as failed.
 func (c *connection) fail(code wire.Code, text string) wire.Answer {
 	if c.state == wire.InTransaction {
 		c.state = wire.Failed
@@ -234,8 +234,8 @@
 	return answer
 }
 
-// controlled answers one of the system's own statements with the status row. The lock is held.
-func (c *connection) controlled(statement wire.Statement) wire.Answer {
+// executeControl executes a control statement of the system, and answers with the status row. The lock is held.
+func (c *connection) executeControl(statement wire.Statement) wire.Answer {
 	instance := c.instance
 	switch statement.Verb {
 	case wire.Pause:
--- a/testinstance/fault.go
+++ b/testinstance/fault.go
@@ -8,12 +8,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Faults of a service's instances, as long as they are set.
+// Faults sets the rates of random faults of a service's instances.
 type Faults struct {
-	LoseAnswers  float64       // share of the clients' statements whose answer is lost after they were run
+	LoseAnswers  float64       // share of the clients' statements whose answer is lost after the execution
 	LoseAcks     float64       // share of the controllers' acknowledgements that an instance never sees
-	LateShare    float64       // share of the calls to controllers that come a second time, late
-	MaxLateDelay time.Duration // how late
+	LateShare    float64       // share of the calls to controllers that are sent a second time, late
+	MaxLateDelay time.Duration // the longest delay of the second call
 }
 
 // SetFaults replaces the faults.
@@ -29,19 +29,21 @@
 	return s.faults
 }
 
-// happens draws whether something with this share happens now.
-func happens(share float64) bool { return share > 0 && rand.Float64() < share }
+// occurs decides at random whether a fault of this rate occurs now.
+func occurs(share float64) bool { return share > 0 && rand.Float64() < share }
 
-// CutCaller cuts a caller of all instances off, as it names itself, or joins it again. What it sent meanwhile is lost.
-func (s *Service) CutCaller(who string, cut bool) {
+// CutCaller cuts a caller off from all instances, or reconnects it. What it sends meanwhile is lost. The name is that of the
+// process, or else the user of its CONNECT.
+func (s *Service) CutCaller(name string, cut bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.cutCallers[who] = cut
-	s.announce()
+	s.cutCallers[name] = cut
+	s.notifyChange()
 }
 
-// awaitJoin tells whether the caller's bytes come through. If it is cut off it waits until it is joined, and tells false.
-func (c *connection) awaitJoin() bool {
+// awaitUncut returns true if the caller isn't cut off. Otherwise it waits until the caller is reconnected, and returns false,
+// since what was sent meanwhile is lost.
+func (c *connection) awaitUncut() bool {
 	wasCut := false
 	for c.ctx.Err() == nil {
 		service := c.instance.service
@@ -61,44 +63,44 @@
 	return false
 }
 
-// CutController keeps all instances from a controller, or lets them reach it again.
+// CutController makes a controller unreachable for all instances, or reachable again.
 func (s *Service) CutController(address string, cut bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.cutControls[address] = cut
+	s.cutControllers[address] = cut
 }
 
 var errCutOff = eris.New("the controller can't be reached")
 
-// reachControl waits in vain for a controller that can't be reached.
-func (c *caller) reachControl(ctx context.Context, address string) error {
+// checkReachable returns an error, after the time of a call that isn't answered, if the controller is cut off.
+func (c *controllerClient) checkReachable(ctx context.Context, address string) error {
 	service := c.instance.service
 	service.mutex.Lock()
-	isCut := service.cutControls[address]
+	isCut := service.cutControllers[address]
 	service.mutex.Unlock()
 	if !isCut {
 		return nil
 	}
-	pause(ctx, beatWait)
+	sleep(ctx, callTimeout)
 	return errCutOff
 }
 
-// sendLate has some calls come once more, much later, as if they had been held up on their way.
-func (c *caller) sendLate(ctx context.Context, target, action string, body any) {
+// sendDuplicateLate sends some calls a second time, later, as if the network had delayed and duplicated them.
+func (c *controllerClient) sendDuplicateLate(ctx context.Context, target, action string, body any) {
 	faults := c.instance.service.currentFaults()
-	if !happens(faults.LateShare) {
+	if !occurs(faults.LateShare) {
 		return
 	}
-	late := newCaller(c.instance)
+	late := newControllerClient(c.instance)
 	c.instance.service.running.Go(func() {
 		defer late.client.CloseIdleConnections()
-		if pause(context.WithoutCancel(ctx), rand.N(faults.MaxLateDelay)) {
+		if sleep(context.WithoutCancel(ctx), rand.N(faults.MaxLateDelay)) {
 			_, _ = late.post(context.WithoutCancel(ctx), target, action, body)
 		}
 	})
 }
 
-// HasLeft tells whether an instance has left for good.
+// HasLeft reports whether the instance has left for good.
 func (i *Instance) HasLeft() bool {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
@@ -113,7 +115,7 @@
 		return nil, eris.Errorf("%s has not left", gone.id)
 	}
 	added := &Instance{
-		service: s, id: id, address: gone.address, zone: gone.zone, beatNow: make(chan struct{}, 1),
+		service: s, id: id, address: gone.address, zone: gone.zone, beatRequests: make(chan struct{}, 1),
 		log: gone.log, term: gone.term, termHeld: gone.termHeld,
 	}
 	if err := added.begin(); err != nil {
--- a/testinstance/heartbeat.go
+++ b/testinstance/heartbeat.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	beatWait         = time.Second           // for an acknowledgement
-	beatRetry        = 50 * time.Millisecond // before another controller is called
-	mostAnswer       = 4 << 10               // bytes of an acknowledgement
-	mostRedirect     = 2                     // that a caller follows
-	leaveTries       = 20                    // after which an instance ends without an acknowledgement
+	callTimeout      = time.Second           // for the answer to one call
+	retryDelay       = 50 * time.Millisecond // before the next controller is called
+	maxAnswerBytes   = 4 << 10               // of an acknowledgement
+	maxRedirects     = 2                     // of one call
+	maxLeaveAttempts = 20                    // then the instance ends without an acknowledgement
 	softwareRevision = "v1"                  // configRevision
 )
 
@@ -36,30 +36,30 @@
 	CallSeq        uint64 `json:"callSeq"`
 }
 
-// acknowledgement is what an instance reads of the answer.
+// acknowledgement holds the fields of the answer that an instance uses.
 type acknowledgement struct {
 	BeatTarget string `json:"beatTarget"`
 }
 
-// errLostAck says that an acknowledgement was lost on its way.
-var errLostAck = eris.New("the acknowledgement is lost")
+// errLostAck reports an acknowledgement that was lost on purpose, see Faults.LoseAcks.
+var errLostAck = eris.New("the acknowledgement was lost")
 
-// errNoController says that no controller has acknowledged a call.
+// errNoController reports that no controller has acknowledged a call.
 var errNoController = eris.New("no controller has acknowledged")
 
-// caller makes an instance's calls to the controllers.
-type caller struct {
+// controllerClient sends an instance's calls to the controllers.
+type controllerClient struct {
 	instance *Instance
 	client   *http.Client
-	target   string // of the next beat; "": any controller
+	target   string // of the next call; "": any controller
 }
 
-func newCaller(instance *Instance) *caller {
-	return &caller{instance: instance, client: &http.Client{
-		Timeout:   beatWait,
-		Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: beatWait},
+func newControllerClient(instance *Instance) *controllerClient {
+	return &controllerClient{instance: instance, client: &http.Client{
+		Timeout:   callTimeout,
+		Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: callTimeout},
 		CheckRedirect: func(_ *http.Request, via []*http.Request) error {
-			if len(via) > mostRedirect {
+			if len(via) > maxRedirects {
 				return eris.New("too many redirects")
 			}
 			return nil
@@ -67,43 +67,43 @@
 	}}
 }
 
-// beat sends heartbeats until the instance ends.
+// beat sends heartbeats until the instance stops, and carries out a planned end.
 func (i *Instance) beat(ctx context.Context) {
-	caller := newCaller(i)
-	defer caller.client.CloseIdleConnections()
+	controllers := newControllerClient(i)
+	defer controllers.client.CloseIdleConnections()
 	for i.awaitThaw(ctx) {
-		if i.isLeavingFirst() {
-			i.leave(ctx, caller)
-			i.serveOn(ctx, caller, i.service.settings.BeatsAfterLeave)
+		if i.isLeavingWithoutDrain() {
+			i.leave(ctx, controllers)
+			i.serveWhileDraining(ctx, controllers, i.service.settings.BeatsAfterLeave)
 			i.finish()
 			return
 		}
 		beat := i.heartbeat()
-		acknowledged := caller.call(ctx, "heartbeat", func() any { return i.heartbeat() }) == nil
+		acknowledged := controllers.call(ctx, "heartbeat", func() any { return i.heartbeat() }) == nil
 		if acknowledged && beat.OperState == "draining" {
-			i.departs()
-			i.serveOn(ctx, caller, true)
-			i.leave(ctx, caller)
+			i.recordDeparture()
+			i.serveWhileDraining(ctx, controllers, true)
+			i.leave(ctx, controllers)
 			i.finish()
 			return
 		}
-		i.rest(ctx)
+		i.awaitNextBeat(ctx)
 	}
 }
 
-// rest waits for the next beat.
-func (i *Instance) rest(ctx context.Context) {
+// awaitNextBeat waits until the next heartbeat is due or requested. The interval is jittered by a tenth.
+func (i *Instance) awaitNextBeat(ctx context.Context) {
 	interval := i.service.settings.BeatInterval
 	timer := time.NewTimer(interval*9/10 + rand.N(interval/5))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-i.beatNow:
+	case <-i.beatRequests:
 	case <-timer.C:
 	}
 }
 
-// heartbeat is the instance's next call.
+// heartbeat returns the body of the instance's next heartbeat.
 func (i *Instance) heartbeat() heartbeat {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
@@ -127,8 +127,8 @@
 	return beat
 }
 
-// call makes a call at the target or, after a failure, at each of the controllers once.
-func (c *caller) call(ctx context.Context, action string, body func() any) error {
+// call sends a call to the target, if there is one, and then to each controller once, until one acknowledges it.
+func (c *controllerClient) call(ctx context.Context, action string, body func() any) error {
 	targets := c.instance.service.settings.Controllers()
 	rand.Shuffle(len(targets), func(one, other int) { targets[one], targets[other] = targets[other], targets[one] })
 	if c.target != "" {
@@ -136,9 +136,9 @@
 	}
 	for _, target := range targets {
 		call := body()
-		c.sendLate(ctx, target, action, call)
+		c.sendDuplicateLate(ctx, target, action, call)
 		answer, err := c.post(ctx, target, action, call)
-		if err == nil && happens(c.instance.service.currentFaults().LoseAcks) {
+		if err == nil && occurs(c.instance.service.currentFaults().LoseAcks) {
 			err = errLostAck
 		}
 		if err == nil {
@@ -146,15 +146,15 @@
 			return nil
 		}
 		c.target = ""
-		if !pause(ctx, beatRetry) {
+		if !sleep(ctx, retryDelay) {
 			return ctx.Err()
 		}
 	}
 	return errNoController
 }
 
-func (c *caller) post(ctx context.Context, target, action string, body any) (acknowledgement, error) {
-	if err := c.reachControl(ctx, target); err != nil {
+func (c *controllerClient) post(ctx context.Context, target, action string, body any) (acknowledgement, error) {
+	if err := c.checkReachable(ctx, target); err != nil {
 		return acknowledgement{}, err
 	}
 	encoded, err := json.Marshal(body)
@@ -172,13 +172,13 @@
 		return acknowledgement{}, err
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer+1))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
 	switch {
 	case err != nil:
 		return acknowledgement{}, err
 	case response.StatusCode/100 != 2:
 		return acknowledgement{}, eris.Errorf("status %d", response.StatusCode)
-	case len(content) > mostAnswer:
+	case len(content) > maxAnswerBytes:
 		return acknowledgement{}, errors.New("the acknowledgement is too large")
 	}
 	var answer acknowledgement
@@ -186,46 +186,47 @@
 	return answer, nil
 }
 
-// Drain begins a planned end: the instance says so, serves on for a while, says that it leaves, and ends.
+// Drain begins a planned end: the instance reports that it drains, serves for the drain time, reports that it leaves, and ends.
 func (i *Instance) Drain() {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
 	i.draining = true
 	i.service.note("%s drains", i.id)
-	i.beatSoon()
+	i.requestBeat()
 }
 
-// Leave begins a planned end without a drain: the instance says that it leaves, serves on for a while, and ends.
+// Leave begins a planned end without a drain: the instance reports that it leaves, serves for the drain time, and ends.
 func (i *Instance) Leave() {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
-	i.leavesFirst = true
+	i.leavesWithoutDrain = true
 	i.service.note("%s leaves without having drained", i.id)
-	i.beatSoon()
+	i.requestBeat()
 }
 
-func (i *Instance) isLeavingFirst() bool {
+func (i *Instance) isLeavingWithoutDrain() bool {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
-	return i.leavesFirst
+	return i.leavesWithoutDrain
 }
 
-// serveOn goes on after the acknowledgement of the end, with beats or without.
-func (i *Instance) serveOn(ctx context.Context, caller *caller, beats bool) {
+// serveWhileDraining keeps serving for the drain time and the linger time, with heartbeats or without.
+func (i *Instance) serveWhileDraining(ctx context.Context, controllers *controllerClient, beats bool) {
 	settings := i.service.settings
 	for until := time.Now().Add(settings.DrainTime + settings.Linger); time.Now().Before(until) && ctx.Err() == nil; {
-		i.rest(ctx)
+		i.awaitNextBeat(ctx)
 		if beats {
-			_ = caller.call(ctx, "heartbeat", func() any { return i.heartbeat() }) // the next one tells the same
+			// A failure doesn't matter: the next heartbeat reports the same.
+			_ = controllers.call(ctx, "heartbeat", func() any { return i.heartbeat() })
 		}
 	}
 }
 
-// leave says that the instance leaves.
-func (i *Instance) leave(ctx context.Context, caller *caller) {
-	for range leaveTries {
-		if caller.call(ctx, "leave", func() any { return struct{}{} }) == nil {
-			i.departs()
+// leave reports to the controllers that the instance leaves.
+func (i *Instance) leave(ctx context.Context, controllers *controllerClient) {
+	for range maxLeaveAttempts {
+		if controllers.call(ctx, "leave", func() any { return struct{}{} }) == nil {
+			i.recordDeparture()
 			return
 		}
 		if ctx.Err() != nil {
@@ -243,8 +244,8 @@
 	i.end()
 }
 
-// pause waits, and tells whether the context has not ended meanwhile.
-func pause(ctx context.Context, duration time.Duration) bool {
+// sleep waits for the duration, and returns false if the context ended before.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/testinstance/instance.go
+++ b/testinstance/instance.go
@@ -10,55 +10,55 @@
 	"eiderway/control/failover"
 )
 
-// Instance is a database server. It may crash and be started again with its log.
+// Instance is a database server. It may crash and be restarted with its log.
 type Instance struct {
-	service *Service
-	id      string
-	address string
-	zone    string
-	beatNow chan struct{} // a heartbeat is wanted at once
-
-	// All below belong to the service's lock.
-	isRunning   bool
-	isFrozen    bool
-	left        bool
-	draining    bool
-	leavesFirst bool // it leaves without having said that it drains
-	primary     bool
-	term        uint64
-	termHeld    uint64
-	paused      bool
-	log         Log
-	busyUntil   time.Time
-	metNewAt    time.Time // when an old primary could reach the new one first
-	busy        int
-	callSeq     uint64
-	stop        context.CancelFunc
-	listener    net.Listener
-	connections map[*connection]struct{}
+	service      *Service
+	id           string
+	address      string
+	zone         string
+	beatRequests chan struct{} // requests a heartbeat at once
+
+	// The service's lock guards all fields below.
+	isRunning          bool
+	isFrozen           bool
+	left               bool
+	draining           bool
+	leavesWithoutDrain bool // whether it leaves without having drained
+	primary            bool
+	term               uint64
+	termHeld           uint64
+	paused             bool
+	log                Log
+	busyUntil          time.Time
+	newPrimarySeenAt   time.Time // when an old primary could first reach the new one
+	busy               int
+	callSeq            uint64
+	stop               context.CancelFunc
+	listener           net.Listener
+	connections        map[*connection]struct{}
 }
 
-// ID names the instance.
+// ID returns the instance's ID.
 func (i *Instance) ID() string { return i.id }
 
-// Address is where it is called.
+// Address returns the address on which the instance listens.
 func (i *Instance) Address() string { return i.address }
 
-// Status is what a STATUS would be answered with.
+// Status returns what the instance would answer to STATUS.
 func (i *Instance) Status() failover.Status {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
 	return i.status()
 }
 
-// Log is what the instance holds.
+// Log returns the instance's log.
 func (i *Instance) Log() Log {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
 	return i.log
 }
 
-// Crash ends the instance without a word. Its log stays.
+// Crash stops the instance without a report to the controllers. Its log stays.
 func (i *Instance) Crash() {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
@@ -66,15 +66,15 @@
 	i.end()
 }
 
-// Freeze stops the instance where it is, as a stopped process would be, or lets it go on.
+// Freeze suspends the instance, as SIGSTOP does a process, or resumes it.
 func (i *Instance) Freeze(isFrozen bool) {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
 	i.isFrozen = isFrozen
-	i.service.announce()
+	i.service.notifyChange()
 }
 
-// awaitThaw waits while the instance is frozen, and tells whether it goes on.
+// awaitThaw waits while the instance is frozen, and returns false if the context ended.
 func (i *Instance) awaitThaw(ctx context.Context) bool {
 	for {
 		i.service.mutex.Lock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// Restart brings a crashed instance back with its log, as a replica if another was promoted meanwhile.
+// Restart starts a crashed instance with its log; as a replica if another instance was promoted meanwhile.
 func (i *Instance) Restart() error {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
@@ -102,12 +102,12 @@
 	i.primary = i.primary && i.service.leader == i
 	i.paused = false
 	i.isFrozen = false
-	i.metNewAt = time.Time{}
+	i.newPrimarySeenAt = time.Time{}
 	i.service.note("%s is started again", i.id)
 	return i.begin()
 }
 
-// begin starts to serve. The lock is held.
+// begin starts serving. The lock is held.
 func (i *Instance) begin() error {
 	listener, err := net.Listen("tcp4", i.address)
 	if err != nil {
@@ -120,9 +120,9 @@
 	i.busy = 0
 	i.connections = map[*connection]struct{}{}
 	i.service.running.Go(func() { i.accept(ctx, listener) })
-	i.service.running.Go(func() { i.follow(ctx) })
+	i.service.running.Go(func() { i.replicate(ctx) })
 	i.service.running.Go(func() { i.beat(ctx) })
-	i.service.announce()
+	i.service.notifyChange()
 	return nil
 }
 
@@ -137,7 +137,7 @@
 	for open := range i.connections {
 		open.cut()
 	}
-	i.service.announce()
+	i.service.notifyChange()
 }
 
 func (i *Instance) status() failover.Status {
@@ -151,17 +151,18 @@
 	}
 }
 
-// stepDown turns a primary into a replica. Commits that no replica has received stay without an answer.
+// stepDown turns a primary into a replica. Commits that no replica has received are never answered.
 func (i *Instance) stepDown(term uint64) {
 	i.primary = false
-	i.metNewAt = time.Time{}
+	i.newPrimarySeenAt = time.Time{}
 	i.termHeld = max(i.termHeld, term)
 	i.service.note("%s steps down", i.id)
-	i.beatSoon()
-	i.service.announce()
+	i.requestBeat()
+	i.service.notifyChange()
 }
 
-// pause keeps a replica from receiving.
+// pause stops the replication to this replica until resume, or until a primary of a later term appears. A pause whose term
+// isn't later than the one held is ignored.
 func (i *Instance) pause(term uint64) {
 	if i.primary || term <= i.termHeld {
 		return
@@ -170,15 +171,15 @@
 	i.paused = true
 }
 
-// resume ends a pause.
+// resume continues a paused replication.
 func (i *Instance) resume() {
 	i.paused = false
-	i.service.announce()
+	i.service.notifyChange()
 }
 
-func (i *Instance) beatSoon() {
+func (i *Instance) requestBeat() {
 	select {
-	case i.beatNow <- struct{}{}:
+	case i.beatRequests <- struct{}{}:
 	default:
 	}
 }
--- a/testinstance/instance_test.go
+++ b/testinstance/instance_test.go
@@ -17,9 +17,9 @@
 	"eiderway/wire"
 )
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
-// cluster is a service of three with a platform and a controller that takes every beat.
+// cluster is a service of three instances with a platform and a controller that acknowledges every heartbeat.
 type cluster struct {
 	*testing.T
 	service   *Service
@@ -86,7 +86,7 @@
 	return loopback.ReserveForTest(t).Address()
 }
 
-// session is a connection on which answers come as short texts.
+// session is a client connection that returns answers as short texts.
 type session struct {
 	*testing.T
 	conn *wire.Conn
@@ -104,7 +104,7 @@
 
 func (s *session) ask(text string) string {
 	s.Helper()
-	answer, err := s.conn.QueryUntil(time.Now().Add(patience), "q", text)
+	answer, err := s.conn.QueryUntil(time.Now().Add(waitTimeout), "q", text)
 	switch {
 	case err != nil:
 		return "broken"
@@ -117,8 +117,8 @@
 func (c *cluster) eventually(what string, holds func() bool) {
 	c.Helper()
 	for start := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(start) > patience {
-			c.Fatalf("it never came that %s", what)
+		if time.Since(start) > waitTimeout {
+			c.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -137,7 +137,7 @@
 	return answer.StatusCode
 }
 
-func TestStatementsOfASession(t *testing.T) {
+func TestSessionExecutesStatements(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, nil)
 	primary := c.dial(c.instances[0])
@@ -165,7 +165,7 @@
 	return is
 }
 
-func TestLimitsOfAnInstance(t *testing.T) {
+func TestInstanceEnforcesItsLimits(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, func(settings *Settings) {
 		settings.MaxConnections, settings.Slots, settings.Work = 2, 1, 300*time.Millisecond
@@ -181,8 +181,9 @@
 	is.Equal(<-done, "I")
 }
 
-// TestPromoteCutsBack cuts the primary off, so that it goes on alone: its commit is never answered, and is cut back.
-func TestPromoteCutsBack(t *testing.T) {
+// TestPromotionTruncatesUnreplicatedCommits isolates the primary, which goes on alone: its commit is never answered, and is
+// truncated once the instance follows the new primary.
+func TestPromotionTruncatesUnreplicatedCommits(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, nil)
 	a, b, d := c.instances[0], c.instances[1], c.instances[2]
@@ -201,9 +202,9 @@
 	is.Equal(c.failover("b", 5), http.StatusOK)
 	c.eventually("b leads", func() bool { return b.Status().Primary })
 	is.Equal(b.Status().Term, uint64(7))
-	is.True(a.Status().Primary) // nobody has told it
+	is.True(a.Status().Primary) // it isn't notified of the promotion
 	is.Equal(c.failover("c", 4), http.StatusConflict)
-	is.Equal(c.failover("b", 5), http.StatusOK) // leads already
+	is.Equal(c.failover("b", 5), http.StatusOK) // b is the primary already
 	is.Equal(len(c.platform.Calls()), 3)
 
 	c.service.Cut(a, b, false)
@@ -213,14 +214,14 @@
 	is.Equal(len(c.service.Journal().Promotions), 2)
 }
 
-func TestPauseStepDownAndCrash(t *testing.T) {
+func TestPauseStepDownAndRestart(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, nil)
 	a, b, d := c.instances[0], c.instances[1], c.instances[2]
 	paused := c.dial(b)
 	_, err := paused.conn.Pause(t.Context(), 5)
 	is.NoErr(err)
-	is.Equal(c.dial(a).ask("PUT k one"), "I") // the other replica is enough
+	is.Equal(c.dial(a).ask("PUT k one"), "I") // one other replica is enough
 	is.Equal(len(b.Log()), 0)
 	_, err = paused.conn.Continue(t.Context())
 	is.NoErr(err)
@@ -237,8 +238,9 @@
 	is.Equal(c.dial(a).ask("PUT k two"), "READONLY I")
 }
 
-// TestFrozenPrimary wakes a primary that was replaced meanwhile: it goes on as one for a while.
-func TestFrozenPrimary(t *testing.T) {
+// TestThawedPrimaryStaysPrimaryForAWhile resumes a primary that was replaced while it was frozen: it answers as the primary
+// until the step-down delay is over.
+func TestThawedPrimaryStaysPrimaryForAWhile(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, func(settings *Settings) { settings.StepDownDelay = 500 * time.Millisecond })
 	a := c.instances[0]
@@ -251,11 +253,11 @@
 	is.Equal(c.dial(c.instances[1]).ask("PUT k new"), "I")
 	is.Equal(len(answered), 0)
 	a.Freeze(false)
-	is.Equal(<-answered, "I") // it knows nothing of the write
+	is.Equal(<-answered, "I") // it lacks the new primary's write
 	c.eventually("a follows", func() bool { return !a.Status().Primary && len(a.Log()) == 1 })
 }
 
-func TestLostAnswerOfThePlatform(t *testing.T) {
+func TestPromotionSurvivesALostAnswer(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, nil)
 	c.platform.Set(func(settings *PlatformSettings) { settings.LoseAnswers = 1 })
@@ -263,10 +265,10 @@
 	c.eventually("b leads all the same", func() bool { return c.service.Leader() == c.instances[1] })
 }
 
-func TestBeatsAndLeave(t *testing.T) {
+func TestDrainingInstanceReportsAndLeaves(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, nil)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	c.instances[1].Drain()
 	sequences := map[string]uint64{}
@@ -278,14 +280,14 @@
 			draining = draining || beat.OperState == "draining"
 			primary = primary || beat.DBRole == "primary"
 		case <-ctx.Done():
-			t.Fatal("the beats did not come")
+			t.Fatal("no heartbeat of a draining instance, or none of a primary")
 		}
 	}
 	select {
 	case path := <-c.leaves:
 		is.Equal(path, "/instances/b/leave")
 	case <-ctx.Done():
-		t.Fatal("no leave came")
+		t.Fatal("no leave was sent")
 	}
 	c.eventually("it has ended", func() bool { _, err := net.Dial("tcp4", c.instances[1].Address()); return err != nil })
 }
--- a/testinstance/journal.go
+++ b/testinstance/journal.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Journal is what the instances of a service did, in the order in which they did it.
+// Journal records what the instances of a service did. Each list is in the order of the events.
 type Journal struct {
 	Promotions []Promotion
 	Executions []Execution
@@ -15,26 +15,26 @@
 
 // Connected is a connection that an instance has accepted.
 type Connected struct {
-	User     string // as the caller named itself: the tenant for whom it runs statements, if there is one
+	User     string // from CONNECT: the tenant for whom the caller runs statements, if there is one
 	Instance string
 	At       time.Time
 }
 
-// Departure is the first acknowledgement of an instance's word that it drains or leaves.
+// Departure is the first time that a controller acknowledged that an instance drains or leaves.
 type Departure struct {
 	Instance string
 	At       time.Time
 }
 
-// Promotion is the beginning of a term.
+// Promotion is the beginning of a term under a new primary.
 type Promotion struct {
 	Instance string
 	Term     uint64
 	At       time.Time
-	Log      Log // with which the instance began to lead
+	Log      Log // the instance's log when it became the primary
 }
 
-// Execution is a read, or a commit of a write, that a client's statement had an instance run.
+// Execution is a statement of a client that an instance ran: a read, a write or a commit.
 type Execution struct {
 	ID       string // of the client's statement
 	Text     string
@@ -42,15 +42,15 @@
 	Term     uint64 // of the instance
 	Stamp    string
 	Rows     []string
-	Log      Log // after it
+	Log      Log // after the execution
 	Wrote    bool
-	Caller   string // the process, as Settings.CallerOf or else the caller itself names it
-	User     string // as the caller named itself when it connected
-	First    bool   // a single statement, or the first read or write of a transaction
+	Caller   string // the calling process, from Settings.CallerOf or else from CONNECT
+	User     string // from CONNECT
+	First    bool   // whether it is a single statement, or the first read or write of a transaction
 	At       time.Time
 }
 
-// Journal returns what was written down until now.
+// Journal returns a copy of what was recorded so far.
 func (s *Service) Journal() Journal {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// departs writes down that a controller has acknowledged that the instance drains or leaves.
-func (i *Instance) departs() {
+// recordDeparture records that a controller has acknowledged that the instance drains or leaves.
+func (i *Instance) recordDeparture() {
 	i.service.mutex.Lock()
 	defer i.service.mutex.Unlock()
 	known := slices.ContainsFunc(i.service.journal.Departures, func(one Departure) bool { return one.Instance == i.id })
--- a/testinstance/platform.go
+++ b/testinstance/platform.go
@@ -14,31 +14,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// Headers of a call that is a duty.
+// Headers of a fenced call: its caller and its fencing token.
 const (
 	holderHeader = "X-Eiderway-Duty-Holder"
 	fenceHeader  = "X-Eiderway-Fence-Token"
 )
 
-// PlatformSettings say how a platform behaves.
+// PlatformSettings control how a platform behaves.
 type PlatformSettings struct {
 	FenceChecked bool
-	PromoteTime  time.Duration // from the call to the moment in which the instance leads
-	Slow         time.Duration // before a call is looked at
-	LoseAnswers  int           // of the next calls that are carried out
+	PromoteTime  time.Duration // from the call until the instance is the primary
+	Slow         time.Duration // delay before a call is handled
+	LoseAnswers  int           // how many of the next successful calls get no answer
 }
 
-// FailoverCall is a POST /failover that has arrived.
+// FailoverCall is a POST /failover that the platform received.
 type FailoverCall struct {
 	Service    string
 	InstanceID string
 	Holder     string
 	Fence      uint64
-	Status     int // that it was answered with, or would have been
+	Status     int // of the answer, even if the answer was lost
 	At         time.Time
 }
 
-// Platform takes POST /failover.
+// Platform is a stand-in for the platform that promotes instances: it serves POST /failover.
 type Platform struct {
 	services map[string]*Service
 	server   *http.Server
@@ -71,24 +71,24 @@
 	return p, nil
 }
 
-// Stop ends the platform and what it has under way.
+// Stop ends the platform and its pending promotions.
 func (p *Platform) Stop() {
 	p.stop()
 	_ = p.server.Close()
 	p.running.Wait()
 }
 
-// Address is where the platform is called.
+// Address returns the address on which the platform listens.
 func (p *Platform) Address() string { return p.address }
 
-// Calls are those that have arrived, in order.
+// Calls returns the calls that were handled, in order.
 func (p *Platform) Calls() []FailoverCall {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return slices.Clone(p.calls)
 }
 
-// Set changes how the platform behaves.
+// Set changes the settings of the platform.
 func (p *Platform) Set(change func(*PlatformSettings)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -104,7 +104,7 @@
 	p.mutex.Lock()
 	slow := p.settings.Slow
 	p.mutex.Unlock()
-	if !pause(p.ctx, slow) {
+	if !sleep(p.ctx, slow) {
 		return
 	}
 	status, loses := p.take(call)
@@ -130,7 +130,7 @@
 	return FailoverCall{Service: body.TargetService, InstanceID: body.InstanceID, Holder: holder, Fence: fence, At: time.Now()}, nil
 }
 
-// take looks at a call, and tells the status and whether the answer is lost.
+// take handles and records a call. It returns the status of the answer and whether the answer is lost.
 func (p *Platform) take(call FailoverCall) (status int, loses bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -159,7 +159,7 @@
 	if due {
 		promoteTime := p.settings.PromoteTime
 		p.running.Go(func() {
-			if pause(p.ctx, promoteTime) {
+			if sleep(p.ctx, promoteTime) {
 				service.promote(call.InstanceID)
 			}
 		})
--- a/testinstance/replicate.go
+++ b/testinstance/replicate.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// idle is how long an instance waits for a change when nothing is due.
-const idle = time.Hour
+// idleWait is how long an instance waits for a notification when nothing is due.
+const idleWait = time.Hour
 
-// follow keeps a replica up to date and makes an old primary step down, until the instance ends.
-func (i *Instance) follow(ctx context.Context) {
+// replicate copies entries from the primary and makes an old primary step down, until the instance stops.
+func (i *Instance) replicate(ctx context.Context) {
 	for ctx.Err() == nil {
 		i.service.mutex.Lock()
 		due := i.advance(time.Now())
@@ -25,30 +25,30 @@
 	}
 }
 
-// advance does what is due, and tells how long it is to what comes next. The lock is held.
+// advance does what is due, and returns the time until something is due again. The lock is held.
 func (i *Instance) advance(now time.Time) time.Duration {
 	if i.isFrozen {
-		return idle
+		return idleWait
 	}
 	if i.primary {
-		return i.meetNewPrimary(now)
+		return i.yieldToNewPrimary(now)
 	}
 	source := i.source()
 	if source == nil || i.paused && source.term <= i.term {
-		return idle
+		return idleWait
 	}
-	i.paused = false // the promote ends it
+	i.paused = false // the promotion of a new primary ends the pause
 	if source.term > i.term {
-		i.enter(source, now)
+		i.enterTerm(source, now)
 	}
 	return i.receive(source, now)
 }
 
-// source is the primary that a replica receives from: of those that it can reach, the one of the highest term.
+// source returns the primary that a replica replicates from: of those that it can reach, the one of the highest term.
 func (i *Instance) source() *Instance {
 	var found *Instance
 	for _, other := range i.service.instances {
-		follows := other != i && other.primary && other.term >= i.term && i.service.reaches(i, other)
+		follows := other != i && other.primary && other.term >= i.term && i.service.areConnected(i, other)
 		if follows && (found == nil || other.term > found.term) {
 			found = other
 		}
@@ -56,11 +56,11 @@
 	return found
 }
 
-// enter begins to follow the primary of a new term: what it doesn't have is cut back.
-func (i *Instance) enter(source *Instance, now time.Time) {
+// enterTerm begins to follow the primary of a new term. Entries that this primary lacks are truncated.
+func (i *Instance) enterTerm(source *Instance, now time.Time) {
 	i.term = source.term
 	i.termHeld = max(i.termHeld, source.term)
-	shared := i.log.common(source.log)
+	shared := i.log.commonLength(source.log)
 	if shared == len(i.log) {
 		return
 	}
@@ -69,12 +69,12 @@
 	i.busyUntil = now.Add(i.service.settings.CutBackTime)
 }
 
-// receive takes what has had the time to arrive.
+// receive appends the source's entries whose replication delay is over, and returns the time until the next one arrives.
 func (i *Instance) receive(source *Instance, now time.Time) time.Duration {
 	delay := i.service.settings.Delay
 	had := len(i.log)
 	arrived := had
-	due := idle
+	due := idleWait
 	for _, entry := range source.log[min(had, len(source.log)):] {
 		if wait := entry.At.Add(delay).Sub(now); wait > 0 {
 			due = wait
@@ -84,21 +84,21 @@
 	}
 	if arrived > had {
 		i.log = source.log[:arrived:arrived]
-		i.service.announce()
+		i.service.notifyChange()
 	}
 	return due
 }
 
-// meetNewPrimary makes an old primary step down some time after it could reach the new one first.
-func (i *Instance) meetNewPrimary(now time.Time) time.Duration {
+// yieldToNewPrimary makes an old primary step down when the step-down delay is over since it could first reach the new one.
+func (i *Instance) yieldToNewPrimary(now time.Time) time.Duration {
 	leader := i.service.leader
-	if leader == i || !i.service.reaches(i, leader) {
-		return idle
+	if leader == i || !i.service.areConnected(i, leader) {
+		return idleWait
 	}
-	if i.metNewAt.IsZero() {
-		i.metNewAt = now
+	if i.newPrimarySeenAt.IsZero() {
+		i.newPrimarySeenAt = now
 	}
-	left := i.metNewAt.Add(i.service.settings.StepDownDelay).Sub(now)
+	left := i.newPrimarySeenAt.Add(i.service.settings.StepDownDelay).Sub(now)
 	if left > 0 {
 		return left
 	}
@@ -106,18 +106,18 @@
 	return 0
 }
 
-// write adds a commit to the log of a primary. The lock is held.
-func (i *Instance) write(id string, writes []Write) Entry {
+// appendEntry appends a commit to the log of a primary. The lock is held.
+func (i *Instance) appendEntry(id string, writes []Write) Entry {
 	entry := Entry{ID: id, Instance: i.id, Writes: writes, At: time.Now()}
 	entry.Position.Term = i.term
 	entry.Position.Number = uint64(len(i.log) + 1)
 	i.log = append(i.log[:len(i.log):len(i.log)], entry)
-	i.service.announce()
+	i.service.notifyChange()
 	return entry
 }
 
-// received tells whether enough replicas hold an entry. The lock is held.
-func (s *Service) received(entry Entry) bool {
+// isReplicated reports whether enough replicas hold an entry. The lock is held.
+func (s *Service) isReplicated(entry Entry) bool {
 	if s.settings.SyncReplicas == 0 {
 		return true
 	}
@@ -129,11 +129,11 @@
 	return false
 }
 
-// awaitReplica waits until a commit may be answered. It tells false if this primary can't get it to a replica any more.
-func (i *Instance) awaitReplica(ctx context.Context, entry Entry) bool {
+// awaitReplication waits until a commit may be answered. It returns false if this instance can't replicate the commit any more.
+func (i *Instance) awaitReplication(ctx context.Context, entry Entry) bool {
 	for {
 		i.service.mutex.Lock()
-		done := i.service.received(entry)
+		done := i.service.isReplicated(entry)
 		lost := !i.isRunning || !i.primary || !i.log.Holds(entry.Position)
 		changed := i.service.changed
 		i.service.mutex.Unlock()
--- a/testinstance/service.go
+++ b/testinstance/service.go
@@ -1,9 +1,9 @@
 // Package testinstance is a stand-in for the database instances of a service and for the platform that promotes them,
 // for tests and demonstrations: real sockets on loopback, logs in memory.
 //
-// Instances speak the instance side of the line protocol and send heartbeats to controllers. The log goes from the primary
-// to its replicas within the process, with a delay and cuts that can be set. All instances of a service share one lock,
-// so that what they did can be written down in one order.
+// Instances speak the instance side of the line protocol and send heartbeats to controllers. The log is replicated within
+// the process, with a delay and with partitions that tests set. All instances of a service share one lock, so that what
+// they did can be recorded in one order.
 package testinstance
 
 import (
@@ -14,29 +14,29 @@
 	"github.com/rotisserie/eris"
 )
 
-// Settings are those of a service and of its instances.
+// Settings control a service and its instances.
 type Settings struct {
 	Name            string
 	SyncReplicas    int                  // 1: a commit is answered once a replica has received it
-	Delay           time.Duration        // from the primary to a replica
-	StepDownDelay   time.Duration        // how long an old primary goes on once it can reach the new one
-	Slots           int                  // statements at a time
+	Delay           time.Duration        // replication delay from the primary to a replica
+	StepDownDelay   time.Duration        // how long an old primary stays one after it can reach the new one
+	Slots           int                  // statements that an instance executes at a time
 	MaxConnections  int                  // from all callers
 	ConnectTime     time.Duration        // for which a new connection holds a slot
 	Work            time.Duration        // for which a statement holds a slot
-	CutBackTime     time.Duration        // for which a replica that was cut back is busy
+	CutBackTime     time.Duration        // for which a replica is busy after its log was truncated
 	BeatInterval    time.Duration        // between heartbeats
-	DrainTime       time.Duration        // served on after the acknowledgement of a drain or of a leave
-	Linger          time.Duration        // served beyond the drain time
-	BeatsAfterLeave bool                 // heartbeats go on after a leave that no drain came before
-	Controllers     func() []string      // control addresses, as the operator's list has them
-	Note            func(message string) // told what happens, with the lock held; may be nil
-	// CallerOf names the process that a client's statement comes through, since callers name themselves after tenants; it may know nothing,
-	// and may be nil.
+	DrainTime       time.Duration        // for which an instance serves after a drain or a leave is acknowledged
+	Linger          time.Duration        // for which it serves beyond the drain time
+	BeatsAfterLeave bool                 // whether heartbeats go on after a leave without a drain
+	Controllers     func() []string      // control addresses of the controllers
+	Note            func(message string) // called for each event, with the lock held; may be nil
+	// CallerOf returns the process that sent a client's statement, if it knows it: the user of CONNECT is a tenant, and doesn't
+	// name the process. It may be nil.
 	CallerOf func(statementID string) (process string, known bool)
 }
 
-// DefaultSettings are those of a small, quick service.
+// DefaultSettings returns the settings of a small service with short delays.
 func DefaultSettings(name string, controllers func() []string) Settings {
 	return Settings{
 		Name:           name,
@@ -60,42 +60,42 @@
 	settings Settings
 	running  sync.WaitGroup
 
-	mutex     sync.Mutex
-	changed   chan struct{} // closed and replaced whenever something has changed
-	instances []*Instance
-	leader    *Instance // that was promoted last
-	term      uint64
-	stamps    uint64
-	cuts      map[link]bool
+	mutex      sync.Mutex
+	changed    chan struct{} // closed and replaced whenever something has changed
+	instances  []*Instance
+	leader     *Instance // the instance that was promoted last
+	term       uint64
+	stampCount uint64
+	cuts       map[link]bool
 
-	cutCallers  map[string]bool
-	cutControls map[string]bool
-	faults      Faults
+	cutCallers     map[string]bool
+	cutControllers map[string]bool
+	faults         Faults
 
 	journal Journal
 }
 
-// link is a pair of instances, in the order of their ids.
+// link is a pair of instances, ordered by ID.
 type link struct{ first, second string }
 
-func linkOf(one, other string) link {
+func newLink(one, other string) link {
 	return link{first: min(one, other), second: max(one, other)}
 }
 
-// NewService makes a service without instances. The first one that is started leads its first term.
+// NewService returns a service without instances. The first instance that is started is the primary of the first term.
 func NewService(settings Settings) *Service {
 	return &Service{
-		settings:    settings,
-		changed:     make(chan struct{}),
-		cuts:        map[link]bool{},
-		cutCallers:  map[string]bool{},
-		cutControls: map[string]bool{},
+		settings:       settings,
+		changed:        make(chan struct{}),
+		cuts:           map[link]bool{},
+		cutCallers:     map[string]bool{},
+		cutControllers: map[string]bool{},
 	}
 }
 
-// Start starts an instance with an empty log.
+// Start starts a new instance with an empty log.
 func (s *Service) Start(id, address, zone string) (*Instance, error) {
-	added := &Instance{service: s, id: id, address: address, zone: zone, beatNow: make(chan struct{}, 1)}
+	added := &Instance{service: s, id: id, address: address, zone: zone, beatRequests: make(chan struct{}, 1)}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.leader == nil {
@@ -123,31 +123,31 @@
 	s.running.Wait()
 }
 
-// Leader is the instance that was promoted last.
+// Leader returns the instance that was promoted last.
 func (s *Service) Leader() *Instance {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.leader
 }
 
-// Cut cuts the replication between two instances, or joins them again.
+// Cut interrupts the replication between two instances, or restores it.
 func (s *Service) Cut(one, other *Instance, cut bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.cuts[linkOf(one.id, other.id)] = cut
-	s.announce()
+	s.cuts[newLink(one.id, other.id)] = cut
+	s.notifyChange()
 }
 
-// SetDelay changes how long a commit takes to a replica.
+// SetDelay changes the replication delay.
 func (s *Service) SetDelay(delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.settings.Delay = delay
-	s.announce()
+	s.notifyChange()
 }
 
-// announce wakes all who wait for a change.
-func (s *Service) announce() {
+// notifyChange wakes all goroutines that wait for a change. The lock is held.
+func (s *Service) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -158,15 +158,15 @@
 	}
 }
 
-func (s *Service) reaches(one, other *Instance) bool {
+func (s *Service) areConnected(one, other *Instance) bool {
 	isAwake := one.isRunning && other.isRunning && !one.isFrozen && !other.isFrozen
-	return isAwake && !s.cuts[linkOf(one.id, other.id)]
+	return isAwake && !s.cuts[newLink(one.id, other.id)]
 }
 
-// errNotRunning says that an instance isn't there to be promoted.
+// errNotRunning reports that an instance can't be promoted since it isn't running.
 var errNotRunning = eris.New("the instance is not running")
 
-// find returns a running instance.
+// find returns the running instance of this ID.
 func (s *Service) find(id string) (*Instance, error) {
 	for _, instance := range s.instances {
 		if instance.id == id && instance.isRunning {
@@ -176,7 +176,8 @@
 	return nil, errNotRunning
 }
 
-// accepts tells whether a promote of this instance is due: not if it isn't running, and not if it leads already.
+// accepts reports whether the instance is to be promoted, which is false if it leads already. It returns an error if the
+// instance isn't running.
 func (s *Service) accepts(id string) (due bool, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -184,7 +185,7 @@
 	return err == nil && instance != s.leader, err
 }
 
-// promote lets an instance lead the next term with the log that it has. The old primary isn't told.
+// promote makes an instance the primary of the next term, with the log that it has. The old primary isn't notified.
 func (s *Service) promote(id string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -200,6 +201,6 @@
 	target.termHeld = max(target.termHeld, s.term)
 	s.journal.Promotions = append(s.journal.Promotions, Promotion{Instance: id, Term: s.term, At: time.Now(), Log: target.log})
 	s.note("%s leads %s in term %d", id, s.settings.Name, s.term)
-	target.beatSoon()
-	s.announce()
+	target.requestBeat()
+	s.notifyChange()
 }
--- a/testinstance/slots.go
+++ b/testinstance/slots.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// takeSlot takes one of the instance's slots, and tells whether there was one.
+// takeSlot takes one of the instance's slots, and returns false if none is free.
 func (c *connection) takeSlot() bool {
 	c.instance.service.mutex.Lock()
 	defer c.instance.service.mutex.Unlock()
@@ -17,12 +17,12 @@
 func (c *connection) freeSlot() {
 	c.instance.service.mutex.Lock()
 	defer c.instance.service.mutex.Unlock()
-	if c.life.Err() == nil { // after a crash the count begins anew
+	if c.instanceCtx.Err() == nil { // after a crash the count starts from zero
 		c.instance.busy--
 	}
 }
 
-// work passes the time that the instance takes.
+// work waits for as long as the instance would work.
 func (c *connection) work(duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/testinstance/statements.go
+++ b/testinstance/statements.go
@@ -7,8 +7,8 @@
 	"eiderway/wire"
 )
 
-// takeQuick runs what takes no slot.
-func (c *connection) takeQuick(statement wire.Statement) wire.Answer {
+// executeWithoutSlot executes a statement that needs no slot.
+func (c *connection) executeWithoutSlot(statement wire.Statement) wire.Answer {
 	switch statement.Verb {
 	case wire.Begin:
 		return c.begin(statement)
@@ -41,7 +41,7 @@
 		return c.fail(wire.ReadOnly, instance.id)
 	}
 	c.state = wire.InTransaction
-	c.readOnly, c.beganTerm, c.pending, c.opened = statement.ReadOnly, term, nil, false
+	c.readOnly, c.transactionTerm, c.pending, c.hasOperation = statement.ReadOnly, term, nil, false
 	return c.completed()
 }
 
@@ -50,10 +50,10 @@
 	c.pending = nil
 }
 
-// run runs what takes a slot.
+// run executes a statement that needed a slot.
 func (c *connection) run(request wire.Request, statement wire.Statement) (wire.Answer, error) {
 	if c.ctx.Err() != nil {
-		return wire.Answer{}, errBroken
+		return wire.Answer{}, errConnectionLost
 	}
 	switch statement.Verb {
 	case wire.Fetch:
@@ -65,18 +65,18 @@
 	}
 	c.instance.service.mutex.Lock()
 	defer c.instance.service.mutex.Unlock()
-	return c.controlled(statement), nil
+	return c.executeControl(statement), nil
 }
 
 func (c *connection) fetch(request wire.Request, statement wire.Statement) wire.Answer {
 	service := c.instance.service
 	service.mutex.Lock()
-	log, lost := c.instance.log, c.lostLead()
+	log, lost := c.instance.log, c.lostPrimaryRole()
 	execution := Execution{ID: request.ID, Text: request.Text, Log: log, Rows: c.rowsOf(log, statement.Key)}
 	var stamp string
 	lags := statement.HasAfter && !log.reaches(statement.After)
 	if !lags && !lost {
-		stamp = c.record(execution, c.opens())
+		stamp = c.record(execution, c.isFirstOperation())
 	}
 	service.mutex.Unlock()
 	switch {
@@ -88,20 +88,21 @@
 	return wire.Answer{Rows: execution.Rows, Stamp: stamp, State: c.state, Position: positionOf(log)}
 }
 
-// lostLead tells whether a plain transaction is open whose instance doesn't lead any more. The lock is held.
-func (c *connection) lostLead() bool {
+// lostPrimaryRole reports whether a read-write transaction is open, but the instance isn't the primary of its term any more. The
+// lock is held.
+func (c *connection) lostPrimaryRole() bool {
 	isPlain := c.state == wire.InTransaction && !c.readOnly
-	return isPlain && (!c.instance.primary || c.instance.term != c.beganTerm)
+	return isPlain && (!c.instance.primary || c.instance.term != c.transactionTerm)
 }
 
-// rowsOf is what a read of a thing returns: writes of the own transaction first.
-func (c *connection) rowsOf(log Log, thing string) []string {
+// rowsOf returns the rows of a read: the open transaction's own write to the key, or else what the log holds.
+func (c *connection) rowsOf(log Log, key string) []string {
 	for at := len(c.pending) - 1; at >= 0; at-- {
-		if c.pending[at].Key == thing {
+		if c.pending[at].Key == key {
 			return []string{c.pending[at].Data}
 		}
 	}
-	if data, found := log.read(thing); found {
+	if data, found := log.read(key); found {
 		return []string{data}
 	}
 	return nil
@@ -114,11 +115,11 @@
 	}
 	service := c.instance.service
 	service.mutex.Lock()
-	refused := c.readOnly || c.lostLead()
+	refused := c.readOnly || c.lostPrimaryRole()
 	var stamp string
 	if !refused {
 		c.pending = append(c.pending, write)
-		stamp = c.record(Execution{ID: request.ID, Text: request.Text, Log: c.instance.log}, c.opens())
+		stamp = c.record(Execution{ID: request.ID, Text: request.Text, Log: c.instance.log}, c.isFirstOperation())
 	}
 	service.mutex.Unlock()
 	if refused {
@@ -138,7 +139,7 @@
 	writes := c.pending
 	service := c.instance.service
 	service.mutex.Lock()
-	lost := c.lostLead() && len(writes) > 0
+	lost := c.lostPrimaryRole() && len(writes) > 0
 	stamp := ""
 	if len(writes) == 0 {
 		stamp = c.record(Execution{ID: request.ID, Text: request.Text, Log: c.instance.log}, false)
@@ -154,8 +155,8 @@
 	return c.write(request, writes, false)
 }
 
-// write commits, and waits for the replica that the commit is answered after. What no replica has received when the
-// instance loses the lead gets no answer.
+// write commits, and waits until a replica has received the commit. A commit that no replica has received when the instance
+// stops being the primary gets no answer.
 func (c *connection) write(request wire.Request, writes []Write, first bool) (wire.Answer, error) {
 	instance := c.instance
 	service := instance.service
@@ -164,32 +165,33 @@
 		service.mutex.Unlock()
 		return c.fail(wire.ReadOnly, instance.id), nil
 	}
-	entry := instance.write(request.ID, writes)
+	entry := instance.appendEntry(request.ID, writes)
 	stamp := c.record(Execution{ID: request.ID, Text: request.Text, Log: instance.log, Wrote: true}, first)
 	service.mutex.Unlock()
-	if !instance.awaitReplica(c.ctx, entry) {
-		return wire.Answer{}, errBroken
+	if !instance.awaitReplication(c.ctx, entry) {
+		return wire.Answer{}, errConnectionLost
 	}
 	return wire.Answer{Stamp: stamp, State: c.state, Position: wire.FormatPosition(entry.Position)}, nil
 }
 
-// opens tells whether a read or write is a single one, or the first of its transaction, and notes that it has come.
-func (c *connection) opens() bool {
-	first := c.state == wire.Idle || !c.opened
-	c.opened = c.state == wire.InTransaction
+// isFirstOperation reports whether a read or write is a single statement or the first of its transaction, and records that the
+// transaction has one.
+func (c *connection) isFirstOperation() bool {
+	first := c.state == wire.Idle || !c.hasOperation
+	c.hasOperation = c.state == wire.InTransaction
 	return first
 }
 
-// record writes down what a client's statement had the instance run, and makes its stamp. The lock is held.
+// record adds an execution to the journal, and returns its stamp. The lock is held.
 func (c *connection) record(execution Execution, first bool) string {
 	service := c.instance.service
-	service.stamps++
+	service.stampCount++
 	execution.Instance = c.instance.id
 	execution.Term = c.instance.term
-	execution.Stamp = fmt.Sprintf("%d.%s.%x", execution.Term, execution.Instance, service.stamps)
+	execution.Stamp = fmt.Sprintf("%d.%s.%x", execution.Term, execution.Instance, service.stampCount)
 	execution.At = time.Now()
 	execution.First = first
-	execution.Caller, execution.User = c.caller, c.who
+	execution.Caller, execution.User = c.caller, c.user
 	service.journal.Executions = append(service.journal.Executions, execution)
 	return execution.Stamp
 }
