--- a/cmd/eidersystem/demo_deployment.go
+++ b/cmd/eidersystem/demo_deployment.go
@@ -121,7 +121,7 @@
 	}
 	settings := d.layout.Controller(number, firstStart, data)
 	d.controllers[number] = startComponent(func(ctx context.Context) error {
-		return host.Run(ctx, host.Boot{Settings: settings, Log: d.log})
+		return host.Run(ctx, host.Options{Settings: settings, Log: d.log})
 	})
 	return nil
 }
--- a/cmd/eidersystem/run.go
+++ b/cmd/eidersystem/run.go
@@ -107,7 +107,7 @@
 }
 
 func runController(ctx context.Context, options runOptions) error {
-	return host.Run(ctx, host.Boot{
+	return host.Run(ctx, host.Options{
 		Settings:  options.settings,
 		Reload:    options.changed,
 		Log:       options.log,
--- a/system/metrics/metrics_test.go
+++ b/system/metrics/metrics_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestEndpointIsPortAndPath(t *testing.T) {
+func TestParseEndpoint(t *testing.T) {
 	is := is.New(t)
 	endpoint, err := ParseEndpoint("9464/metrics")
 	is.NoErr(err)
@@ -21,12 +21,12 @@
 	}
 }
 
-func TestFiguresAreServedAsText(t *testing.T) {
+func TestSamplesAreServedAsText(t *testing.T) {
 	is := is.New(t)
-	source := func() []Figure {
-		return []Figure{
+	source := func() []Sample {
+		return []Sample{
 			{Name: "orders_total", Help: "Orders taken.", Value: 3},
-			{Name: "frozen", Help: "The service is frozen.", Kind: Gauge, Value: 1, Of: "db"},
+			{Name: "frozen", Help: "The service is frozen.", Kind: Gauge, Value: 1, Label: "db"},
 		}
 	}
 	server := httptest.NewServer(handler("/metrics", source))
