--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -230,7 +230,7 @@
 	scenario.Each(t, func(t *testing.T, path string) {
 		s := &scene{t: t, now: 1e6, peers: map[int]*testPeer{}, lastRecord: map[int]Record{}, suspectedUntil: map[int]float64{}, started: map[int]float64{}}
 		for _, line := range scenario.MustRead(t, path) {
-			s.place = line.Place
+			s.place = line.Location
 			s.play(line.Words)
 		}
 	})
--- a/systemtest/workload/tenant_judge.go
+++ b/systemtest/workload/tenant_judge.go
@@ -74,7 +74,7 @@
 		keys[statement.Key] = true
 	}
 	for _, connected := range j.Journal.Connected {
-		if keys[connected.Who] {
+		if keys[connected.User] {
 			j.report("UNASKED", "%s was told a key at CONNECT", connected.Instance)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // statementsRunAsTheirTenants: a statement runs in the name of a tenant that holds its client's key by a configuration that may be in force.
 func (j *tenantJudge) statementsRunAsTheirTenants() {
-	for _, ran := range j.Journal.Ran {
+	for _, ran := range j.Journal.Executions {
 		asked, known := j.asked[ran.ID]
 		if !known {
 			continue // the judge of statements sees it
@@ -90,17 +90,17 @@
 		switch ever, now := j.holders(asked, ran); {
 		case len(ever) == 0:
 			j.report("ROUTE", "%s ran %s with a key that nobody ever held", ran.Instance, ran.ID)
-		case !slices.Contains(ever, ran.Who):
-			j.report("UNASKED", "%s ran %s for %q, its key is that of %q", ran.Instance, ran.ID, ran.Who, ever)
-		case !slices.Contains(now, ran.Who):
-			j.report("CONFIG", "%s ran %s, sent at %v, for %q, from whom its key had been taken away", ran.Instance, ran.ID, asked.Sent, ran.Who)
+		case !slices.Contains(ever, ran.User):
+			j.report("UNASKED", "%s ran %s for %q, its key is that of %q", ran.Instance, ran.ID, ran.User, ever)
+		case !slices.Contains(now, ran.User):
+			j.report("CONFIG", "%s ran %s, sent at %v, for %q, from whom its key had been taken away", ran.Instance, ran.ID, asked.Sent, ran.User)
 		}
 	}
 }
 
 // holders are the tenants that held the key of a statement by any configuration sent before it ran, and by one that may still have been in
 // force for it.
-func (j *tenantJudge) holders(asked Statement, ran testinstance.Ran) (ever, now []string) {
+func (j *tenantJudge) holders(asked Statement, ran testinstance.Execution) (ever, now []string) {
 	for _, order := range j.Orders {
 		holder := holderOf(order.Tenants, asked.Key)
 		if holder == "" || order.wasRefused() || order.Sent.After(ran.At) {
@@ -144,12 +144,12 @@
 func (j *tenantJudge) operations() map[string][]operation {
 	type owner struct{ tenant, try string }
 	found := map[owner]operation{}
-	for _, ran := range j.Journal.Ran {
+	for _, ran := range j.Journal.Executions {
 		asked, known := j.asked[ran.ID]
 		if !known {
 			continue
 		}
-		at := owner{ran.Who, asked.Try}
+		at := owner{ran.User, asked.Try}
 		if one, present := found[at]; !present || ran.At.Before(one.ran) {
 			found[at] = operation{sent: asked.Began, ran: ran.At}
 		}
