--- a/cmd/eiderway/zone.go
+++ b/cmd/eiderway/zone.go
@@ -129,7 +129,7 @@
 		return z.run("leave")
 	}
 	var b struct {
-		zone.Bears
+		zone.LeaveEstimate
 		Error string
 	}
 	if _, err := ask(z.Socket, "zone bears "+z.Zone, &b); err != nil {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -328,7 +328,7 @@
 	f.said++
 	for _, r := range f.routers {
 		r.now(func() {
-			r.zones.Holds(r.me == me, token, f.now)
+			r.zones.SetHolder(r.me == me, token, f.now)
 			r.act()
 		})
 	}
--- a/fleet/router.go
+++ b/fleet/router.go
@@ -17,7 +17,7 @@
 	me        int
 	split     *splitter.Router
 	peerState *peerstate.Table
-	zones     *zone.Book
+	zones     *zone.Monitor
 	open      map[int]bool
 	txns      map[int]*txn
 	next      int
@@ -63,7 +63,7 @@
 func newRouter(f *Fleet, me, of int, seed int64) *router {
 	r := &router{f: f, me: me, open: map[int]bool{}, txns: map[int]*txn{}, armed: math.Inf(1)}
 	r.peerState = peerstate.New(peerstate.Config{Self: me, Routers: of, Seed: seed + int64(me), Bound: bound})
-	t := zone.Terms{Me: me, Routers: of, Zone: zones[me%len(zones)], Life: uint32(f.set)<<12 + uint32(me) + 1}
+	t := zone.Config{Me: me, Routers: of, Zone: zones[me%len(zones)], Life: uint32(f.set)<<12 + uint32(me) + 1}
 	if f.way.Numbers {
 		t.Every = stepsEvery
 	}
@@ -177,7 +177,7 @@
 			r.peerState.RecordFinish(node, rep.Pos, rep.Role == splitter.RolePrimary, f.now)
 		}
 		if f.way.Zones {
-			r.zones.Saw(node, t.typ, o == splitter.Committed, res.Latency, f.now)
+			r.zones.RecordOutcome(node, t.typ, o == splitter.Committed, res.Latency, f.now)
 		}
 		r.act()
 		then(res)
@@ -278,7 +278,7 @@
 			r.send(s.To, s.Bytes, func(peer *router) { peer.peerState.Receive(r.me, s.Bytes, f.now) })
 		}
 		for _, s := range z.Sends {
-			r.send(s.To, s.Bytes, func(peer *router) { peer.zones.Take(r.me, s.Bytes, f.now) })
+			r.send(s.To, s.Bytes, func(peer *router) { peer.zones.Receive(r.me, s.Bytes, f.now) })
 		}
 		for _, update := range e.Updates {
 			words := make([]splitter.PeerReport, len(update.Nodes))
--- a/proxy/askzone.go
+++ b/proxy/askzone.go
@@ -18,7 +18,7 @@
 	Error  string `json:"error,omitempty"`
 }
 
-var orders = map[string]zone.Hand{"leave": zone.Leave, "hold": zone.Hold, "return": zone.Auto, "auto": zone.Auto}
+var orders = map[string]zone.Override{"leave": zone.Leave, "hold": zone.Hold, "return": zone.Auto, "auto": zone.Auto}
 
 // askedZone answers a question on zones.
 func (c *core) askedZone(nc net.Conn, out *json.Encoder, words []string, fail func(string, ...any)) {
@@ -35,9 +35,9 @@
 			out.Encode(states)
 		}
 	case len(words) == 2 && words[0] == "bears":
-		var b zone.Bears
+		var b zone.LeaveEstimate
 		found := false
-		if z.asks(func() { b, found = z.book.Bears(words[1], z.core.now) }) && found {
+		if z.asks(func() { b, found = z.book.EstimateLeave(words[1], z.core.now) }) && found {
 			out.Encode(b)
 		} else {
 			fail("%q is no zone of the list", words[1])
@@ -50,7 +50,7 @@
 }
 
 // order tells how far an order is until it is done, the asker goes, or it is given up.
-func (z *zones) order(nc net.Conn, out *json.Encoder, name string, what zone.Hand, fail func(string, ...any)) {
+func (z *zones) order(nc net.Conn, out *json.Encoder, name string, what zone.Override, fail func(string, ...any)) {
 	var err error
 	var was, now zone.State
 	look := func() {
--- a/proxy/tier.go
+++ b/proxy/tier.go
@@ -115,7 +115,7 @@
 func (t *tier) took(peer int, b []byte) {
 	switch c := t.core; {
 	case len(b) > 0 && b[0] >= zone.First && c.zones != nil:
-		c.zones.book.Take(peer, b, c.now)
+		c.zones.book.Receive(peer, b, c.now)
 		c.zones.act()
 	case len(b) > 0 && b[0] >= lease.First && c.leases != nil:
 		c.leases.book.Take(peer, b, c.leases.now())
--- a/proxy/zone.go
+++ b/proxy/zone.go
@@ -19,7 +19,7 @@
 
 type zones struct {
 	core  *core
-	book  *zone.Book
+	book  *zone.Monitor
 	next  nextStep
 	mu    sync.Mutex
 	shown zone.Counts
@@ -34,7 +34,7 @@
 	if _, err := rand.Read(life[:]); err != nil {
 		return nil, err
 	}
-	t := zone.Terms{Routers: 1, Zone: cfg.zone(), Life: binary.BigEndian.Uint32(life[:]), Every: cfg.Own.Zones.Every, Regions: cfg.Own.Zones.Regions}
+	t := zone.Config{Routers: 1, Zone: cfg.zone(), Life: binary.BigEndian.Uint32(life[:]), Every: cfg.Own.Zones.Every, Regions: cfg.Own.Zones.Regions}
 	if c.tier != nil {
 		t.Me, t.Routers = c.tier.me, len(c.tier.peers)
 	}
@@ -47,7 +47,7 @@
 	ok := o == splitter.Committed || o == splitter.Answered
 	if id, there := z.core.byUID[n.uid]; there && (ok || slices.Contains([]splitter.Outcome{splitter.Failed, splitter.TimedOut, splitter.Broken,
 		splitter.NoConn}, o)) {
-		z.book.Saw(id, typ, ok, res.Latency, z.core.now)
+		z.book.RecordOutcome(id, typ, ok, res.Latency, z.core.now)
 		z.act()
 	}
 }
@@ -80,7 +80,7 @@
 	}
 	z.next.arm(z.core, z.book.Next(), z)
 	z.mu.Lock()
-	z.shown = z.book.Counted()
+	z.shown = z.book.Counts()
 	z.mu.Unlock()
 }
 
@@ -100,7 +100,7 @@
 func (z *zones) numbered(x lease.Event) {
 	switch x.Kind {
 	case lease.Took, lease.Lost:
-		z.book.Holds(x.Kind == lease.Took, x.Token, z.core.now)
+		z.book.SetHolder(x.Kind == lease.Took, x.Token, z.core.now)
 	case lease.Obeyed:
 		if err := z.book.Obey(x.Holder, x.Text, z.core.now); err != nil {
 			z.core.log.WithError(err).WithField("holder", x.Holder).Warn("zone: a word that can't be read")
--- a/zone/api.go
+++ b/zone/api.go
@@ -2,9 +2,9 @@
 // facts to the splitter, which stays the only one to choose: members of a zone that is left are doubted, so that they come
 // after all others, and are used still where the others have no room.
 //
-// How to call it: New makes a Book from Terms. The host names the nodes (Node, Forget), tells how each submission of this
-// router ended (Saw), hands over each datagram of a peer (Take), calls Step when it is due (Next), and after each call does
-// what Effects asks for. Where one router numbers the steps for all, the host says whether that is this one (Holds), has its
+// How to call it: New makes a Monitor from a Config. The host names the nodes (Node, Forget), tells how each submission of this
+// router ended (RecordOutcome), hands over each datagram of a peer (Receive), calls Step when it is due (Next), and after each call does
+// what Effects asks for. Where one router numbers the steps for all, the host says whether that is this one (SetHolder), has its
 // Words told, and hands over those that are to be obeyed (Obey); who holds, and that no older word comes after a newer one,
 // is package lease's matter. Time (seconds of a clock that no step moves) is handed in, ids are small indices that the host
 // gives. There is no chance in it: one history of calls gives one history of effects.
@@ -16,8 +16,8 @@
 // All stands for every other router.
 const All = -1
 
-// Terms are what a Book is told at start.
-type Terms struct {
+// Config are what a Book is told at start.
+type Config struct {
 	Me, Routers int
 	Zone        string            // this router's
 	Life        uint32            // differs from that of an earlier start
@@ -37,16 +37,16 @@
 	Until float64
 }
 
-// Hand is what operators have ordered for a zone.
-type Hand uint8
+// Override is what operators have ordered for a zone.
+type Override uint8
 
 const (
-	Auto  Hand = iota // nothing: evidence decides
-	Leave             // it is left, whatever evidence says
-	Hold              // it stays as it is
+	Auto  Override = iota // nothing: evidence decides
+	Leave                 // it is left, whatever evidence says
+	Hold                  // it stays as it is
 )
 
-func (h Hand) String() string { return [...]string{"auto", "leave", "hold"}[h] }
+func (h Override) String() string { return [...]string{"auto", "leave", "hold"}[h] }
 
 // Kind of a step.
 type Kind int
@@ -72,7 +72,7 @@
 	Voices          int     // routers that had bad or late ones
 	Else            float64 // share of bad ones in other zones
 	Told            bool    // the holder's word said so
-	Hand            Hand
+	Hand            Override
 }
 
 // Effects are what the host is asked to do.
@@ -84,7 +84,7 @@
 	Word   string // the holder's newest, to all; "": no news
 }
 
-// Counts tell what a Book has done.
+// Counts tell what a Monitor has done.
 type Counts struct {
 	Tells, Bytes, Taken, Spoilt, Old int64
 	Leaves, Returns, Words, Wishes   int64
@@ -108,8 +108,8 @@
 	Holder int     `json:"holder"` // who numbers steps; -1: nobody is heard
 }
 
-// Bears tells what this router has seen the other zones bear, before a zone is left by hand. Rates are of this router.
-type Bears struct {
+// LeaveEstimate tells what this router has seen the other zones bear, before a zone is left by hand. Rates are of this router.
+type LeaveEstimate struct {
 	Zone  string  `json:"zone"`
 	Now   float64 `json:"now"`   // answers a second of all zones
 	Moves float64 `json:"moves"` // of them from the zone that is to be left
--- a/zone/hand.go
+++ b/zone/hand.go
@@ -12,14 +12,14 @@
 // wanted is an order that this router was asked for and that no word has shown yet.
 type wanted struct {
 	zone  *zone
-	what  Hand
+	what  Override
 	base  uint64 // the order that it follows
 	next  float64
 	until float64
 }
 
-// Holds says whether this router numbers the steps from now on, under a token that rises with every holder.
-func (b *Book) Holds(on bool, token uint64, now float64) {
+// SetHolder says whether this router numbers the steps from now on, under a token that rises with every holder.
+func (b *Monitor) SetHolder(on bool, token uint64, now float64) {
 	b.holds, b.token, b.ordered = on, token, 0
 	if on {
 		b.leader = b.terms.Me
@@ -28,7 +28,7 @@
 }
 
 // say has the holder's word told: all zones that are out for several zones' routers, or that orders stand for.
-func (b *Book) say() {
+func (b *Monitor) say() {
 	var all []said
 	for _, z := range b.order {
 		if z.number > 0 || z.out && z.wide {
@@ -56,7 +56,7 @@
 }
 
 // Obey takes a word of a holder that is to be obeyed.
-func (b *Book) Obey(from int, text string, now float64) error {
+func (b *Monitor) Obey(from int, text string, now float64) error {
 	all, err := parseWord(text)
 	if err != nil || from == b.terms.Me {
 		return err
@@ -87,7 +87,7 @@
 
 // follow has a zone's share as the word says. Own evidence may be ahead of it by a little; and what only our own sums say,
 // as where the way there from our zone is cut, stays ours.
-func (b *Book) follow(z *zone, x said, now float64) {
+func (b *Monitor) follow(z *zone, x said, now float64) {
 	z.wide = z.wide || x.share < 1 // so the holder saw it: if we number the steps next, they go on from there
 	switch {
 	case x.share >= 1 && (!z.out || z.alone && z.hand == Auto):
@@ -122,13 +122,13 @@
 }
 
 // takes notes an order and its number.
-func (b *Book) takes(z *zone, what Hand, number uint64) {
+func (b *Monitor) takes(z *zone, what Override, number uint64) {
 	z.hand, z.number = what, number
 	b.happened(z, Event{Kind: Ordered})
 }
 
 // rule carries an order out, at the holder.
-func (b *Book) rule(z *zone, what Hand, number uint64, now float64) {
+func (b *Monitor) rule(z *zone, what Override, number uint64, now float64) {
 	b.takes(z, what, number)
 	switch {
 	case what == Leave:
@@ -141,14 +141,14 @@
 }
 
 // number is one that is above that of any earlier holder.
-func (b *Book) number() uint64 {
+func (b *Monitor) number() uint64 {
 	b.ordered++
 	return b.token<<12 + b.ordered
 }
 
 // Order asks for something by hand, for all. It takes effect once a holder's word has shown it (States); after some seconds
 // without that, as where nobody comes to number the steps, it is given up.
-func (b *Book) Order(name string, what Hand, now float64) error {
+func (b *Monitor) Order(name string, what Override, now float64) error {
 	z := b.zones[hash(name)]
 	switch {
 	case z == nil || z.name != name:
@@ -170,7 +170,7 @@
 }
 
 // ordersStand counts the zones that are left or held by hand.
-func (b *Book) ordersStand() (n int) {
+func (b *Monitor) ordersStand() (n int) {
 	for _, z := range b.order {
 		if z.hand != Auto {
 			n++
@@ -180,7 +180,7 @@
 }
 
 // urge sends the orders that no word has shown yet.
-func (b *Book) urge(now float64) {
+func (b *Monitor) urge(now float64) {
 	b.wishes = slices.DeleteFunc(b.wishes, func(w *wanted) bool { return now >= w.until || w.zone.number > w.base && w.zone.hand == w.what })
 	for _, w := range b.wishes {
 		if now < w.next {
@@ -198,12 +198,12 @@
 }
 
 // asked takes an order from a peer, where we hold.
-func (b *Book) asked(w *wish, now float64) {
+func (b *Monitor) asked(w *wish, now float64) {
 	z := b.zones[w.Zone]
 	if !b.holds || w.What > uint8(Hold) {
 		return
 	}
-	switch what := Hand(w.What); {
+	switch what := Override(w.What); {
 	case z == nil:
 	case w.Number > z.number: // an earlier holder's order that we had not heard of
 		b.rule(z, what, w.Number, now)
@@ -213,7 +213,7 @@
 }
 
 // States tells the zones.
-func (b *Book) States(now float64) (out []State) {
+func (b *Monitor) States(now float64) (out []State) {
 	holder := -1
 	if b.holds || b.follows(now) {
 		holder = b.leader
@@ -226,8 +226,8 @@
 	return out
 }
 
-// Bears tells what is known of the others before a zone is left by hand; false: there is no such zone.
-func (b *Book) Bears(name string, now float64) (out Bears, ok bool) {
+// EstimateLeave tells what is known of the others before a zone is left by hand; false: there is no such zone.
+func (b *Monitor) EstimateLeave(name string, now float64) (out LeaveEstimate, ok bool) {
 	left := b.zones[hash(name)]
 	if left == nil || left.name != name {
 		return out, false
--- a/zone/steps.go
+++ b/zone/steps.go
@@ -6,13 +6,13 @@
 import "math"
 
 // follows tells whether a holder's word paces the steps: one that was heard of late.
-func (b *Book) follows(now float64) bool {
+func (b *Monitor) follows(now float64) bool {
 	return !b.holds && now-b.heard < max(wordFresh, b.terms.Every*wordsLost)
 }
 
 // weigh looks whether a zone's step is due. Whoever sees that a zone fails leaves it at once. How it returns is the holder's
 // to say where its word had it left, or else by our own sums.
-func (b *Book) weigh(z *zone, now float64) {
+func (b *Monitor) weigh(z *zone, now float64) {
 	if z.hand != Auto {
 		return
 	}
@@ -72,10 +72,12 @@
 }
 
 // first is the share that returns first.
-func (b *Book) first() float64 { return min(1, max(firstShare, firstLooks/float64(b.terms.Routers))) }
+func (b *Monitor) first() float64 {
+	return min(1, max(firstShare, firstLooks/float64(b.terms.Routers)))
+}
 
 // step takes one.
-func (b *Book) step(z *zone, kind Kind, share float64, s, other sight, now float64) {
+func (b *Monitor) step(z *zone, kind Kind, share float64, s, other sight, now float64) {
 	z.out, z.share, z.since = kind != Back, math.Round(share*shareParts)/shareParts, now
 	if kind == Left {
 		z.unlearn(now)
@@ -93,18 +95,18 @@
 	}
 }
 
-func (b *Book) happened(z *zone, e Event) {
+func (b *Monitor) happened(z *zone, e Event) {
 	e.Zone, e.Share, e.Hand = z.name, z.share, z.hand
 	b.out.Events = append(b.out.Events, e)
 }
 
 // uses tells whether this router is among those that use a zone: the order is the same at all, and another for each zone.
-func (b *Book) uses(z *zone) bool {
+func (b *Monitor) uses(z *zone) bool {
 	return !z.out || float64(z.place) < z.share*float64(b.terms.Routers)
 }
 
 // doubt has the splitter prefer other zones, or ends that.
-func (b *Book) doubt(z *zone, now float64) {
+func (b *Monitor) doubt(z *zone, now float64) {
 	z.renew = now + renewEach
 	until, was := now, z.doubted
 	if z.doubted = !b.uses(z); z.doubted {
@@ -121,7 +123,7 @@
 func (z *zone) looksOn() bool { return z.out || z.renew < z.since+settling }
 
 // Next is when Step is due.
-func (b *Book) Next() float64 {
+func (b *Monitor) Next() float64 {
 	next := math.Inf(1)
 	for _, z := range b.order {
 		if z.looksOn() {
@@ -135,7 +137,7 @@
 }
 
 // Step does what is due.
-func (b *Book) Step(now float64) {
+func (b *Monitor) Step(now float64) {
 	b.urge(now)
 	for _, z := range b.order {
 		if now < z.renew || !z.looksOn() {
@@ -158,7 +160,7 @@
 // look has routers that return probe nodes that they have not used of late, each its even part of what nodes bear. Whether a
 // replica may be read from is known from its answers, and one that nobody uses gives none: it would hardly be used again,
 // whatever its zone's share. One that has its even part of this router's submissions needs no looks: they would draw more.
-func (b *Book) look(z *zone, now float64) {
+func (b *Monitor) look(z *zone, now float64) {
 	mine, all, nodes := b.own(z, now), sight{}, 0
 	for _, o := range b.order {
 		all.add(b.own(o, now))
--- a/zone/wire.go
+++ b/zone/wire.go
@@ -106,7 +106,7 @@
 type said struct {
 	key    uint32
 	share  float64
-	hand   Hand
+	hand   Override
 	number uint64
 }
 
@@ -138,7 +138,7 @@
 		if errors.Join(err1, err2, err3, err4) != nil || !(share >= 0 && share <= 1) || hand > uint64(Hold) {
 			return nil, errSpoilt
 		}
-		out = append(out, said{uint32(key), share, Hand(hand), number})
+		out = append(out, said{uint32(key), share, Override(hand), number})
 	}
 	return out, nil
 }
--- a/zone/zone.go
+++ b/zone/zone.go
@@ -15,9 +15,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Book is one router's part. Nodes are emptied by Forget; zones grow with the names ever listed, words with zones and peers.
-type Book struct {
-	terms   Terms
+// Monitor is one router's part. Nodes are emptied by Forget; zones grow with the names ever listed, words with zones and peers.
+type Monitor struct {
+	terms   Config
 	nodes   []*node
 	zones   map[uint32]*zone
 	order   []*zone
@@ -111,7 +111,7 @@
 // borrow has a zone that is out begin with what is usual elsewhere, the longest of it, where this router knows nothing of its
 // own: else it would learn from the answers of a zone that is slow, and call them good. It may harm where a zone is far: who
 // has never used it then learns that from some hundred late answers.
-func (b *Book) borrow(z *zone, typ int) {
+func (b *Monitor) borrow(z *zone, typ int) {
 	u := &z.usual[typ]
 	if u.n >= learnFirst {
 		return
@@ -175,29 +175,29 @@
 	doubted bool    // its nodes were, when last looked at
 	looked  int     // the node that was looked at last, by its place among them
 	looks   float64 // that may be made now
-	hand    Hand
+	hand    Override
 	number  uint64  // of that order; 0: there was none
 	peak    float64 // answers a second that it was seen to bear, here
 	peakAt  float64
 }
 
-// New makes a Book that has seen nothing.
-func New(t Terms) *Book {
-	return &Book{terms: t, zones: map[uint32]*zone{}, offsets: make([]offset, t.Routers), leader: -1, heard: math.Inf(-1)}
+// New makes a Monitor that has seen nothing.
+func New(t Config) *Monitor {
+	return &Monitor{terms: t, zones: map[uint32]*zone{}, offsets: make([]offset, t.Routers), leader: -1, heard: math.Inf(-1)}
 }
 
 // Effects hands over what is to be done, once.
-func (b *Book) Effects() Effects {
+func (b *Monitor) Effects() Effects {
 	out := b.out
 	b.out = Effects{}
 	return out
 }
 
-// Counted tells the counts.
-func (b *Book) Counted() Counts { return b.counted }
+// Counts tells the counts.
+func (b *Monitor) Counts() Counts { return b.counted }
 
 // zone finds one by its key; a word may name one whose nodes are not listed here yet.
-func (b *Book) zone(key uint32, name string) *zone {
+func (b *Monitor) zone(key uint32, name string) *zone {
 	z := b.zones[key]
 	if z == nil {
 		z = &zone{key: key, words: map[int]word{}, sums: map[int]word{}, share: 1, most: 1, failed: math.Inf(-1), since: math.Inf(-1)}
@@ -219,7 +219,7 @@
 }
 
 // Node names a member of the list, its group and its zone. One without a zone is in none.
-func (b *Book) Node(id int, uid, name string, group int) {
+func (b *Monitor) Node(id int, uid, name string, group int) {
 	for id >= len(b.nodes) {
 		b.nodes = append(b.nodes, nil)
 	}
@@ -234,7 +234,7 @@
 }
 
 // Forget ends a node: its index may stand for another.
-func (b *Book) Forget(id int) {
+func (b *Monitor) Forget(id int) {
 	if id >= len(b.nodes) || b.nodes[id] == nil {
 		return
 	}
@@ -243,9 +243,9 @@
 	b.nodes[id] = nil
 }
 
-// Saw tells how a submission of a txn type ended, and after how long. What a node turns away or misses shows nothing of its
+// RecordOutcome tells how a submission of a txn type ended, and after how long. What a node turns away or misses shows nothing of its
 // zone, and is not told here.
-func (b *Book) Saw(id, typ int, ok bool, latency, now float64) {
+func (b *Monitor) RecordOutcome(id, typ int, ok bool, latency, now float64) {
 	if id >= len(b.nodes) || b.nodes[id] == nil || typ < 0 {
 		return
 	}
@@ -272,7 +272,7 @@
 }
 
 // own sums what this router saw of a zone.
-func (b *Book) own(z *zone, now float64) (s sight) {
+func (b *Monitor) own(z *zone, now float64) (s sight) {
 	for _, n := range z.nodes {
 		x := n.seen.sum(now)
 		s.good, s.late, s.bad = s.good+x[good], s.late+x[late], s.bad+x[bad]
@@ -290,7 +290,7 @@
 }
 
 // send writes a datagram, with our head.
-func (b *Book) send(to int, kind byte, h *head, x any, z *zone, now float64) {
+func (b *Monitor) send(to int, kind byte, h *head, x any, z *zone, now float64) {
 	*h = head{uint16(b.terms.Me), b.terms.Life, uint32(int64(now * 1000)), z.key}
 	text := format(kind, x)
 	b.counted.Tells++
@@ -299,7 +299,7 @@
 }
 
 // tell says our counts of a zone, to all or to those who gather.
-func (b *Book) tell(z *zone, now float64) {
+func (b *Monitor) tell(z *zone, now float64) {
 	s := b.own(z, now)
 	z.told, z.loud = now, s.late+s.bad > 0 || z.out
 	if b.terms.Routers < 2 {
@@ -321,7 +321,7 @@
 
 // addUp tells all what we have heard, where we gather: seldom while nothing could come of it, and not where two that come
 // before us have just said as much.
-func (b *Book) addUp(z *zone, now float64) {
+func (b *Monitor) addUp(z *zone, now float64) {
 	if now-z.summed < sumEvery || !slices.Contains(z.gather, b.terms.Me) {
 		return
 	}
@@ -347,9 +347,9 @@
 	b.send(All, kindSum, &x.head, &x, z, now)
 }
 
-// Take takes a datagram that came from the address of a peer, and tells whether it was one of ours. One that was long on its
+// Receive takes a datagram that came from the address of a peer, and tells whether it was one of ours. One that was long on its
 // way, or overtaken, says nothing.
-func (b *Book) Take(from int, datagram []byte, now float64) bool {
+func (b *Monitor) Receive(from int, datagram []byte, now float64) bool {
 	x, h, err := parse(datagram)
 	if err != nil || int(h.From) != from || from == b.terms.Me || from >= len(b.offsets) {
 		b.counted.Spoilt++
@@ -455,7 +455,7 @@
 }
 
 // hears adds up what this router saw and what others have told it of theirs.
-func (b *Book) hears(z *zone, now float64) sight {
+func (b *Monitor) hears(z *zone, now float64) sight {
 	s := b.own(z, now)
 	for from, w := range z.words {
 		if now-w.at > fresh {
@@ -468,7 +468,7 @@
 }
 
 // sees is the fullest sight that there is: gatherers' overlap, so they are not added up.
-func (b *Book) sees(z *zone, now float64) sight {
+func (b *Monitor) sees(z *zone, now float64) sight {
 	s := b.hears(z, now)
 	for _, from := range b.sumsOf(z, now) {
 		if w := z.sums[from]; w.all() > s.all() {
@@ -479,7 +479,7 @@
 }
 
 // sumsOf lists whose sums count, in order.
-func (b *Book) sumsOf(z *zone, now float64) (out []int) {
+func (b *Monitor) sumsOf(z *zone, now float64) (out []int) {
 	for from, w := range z.sums {
 		if now-w.at > fresh {
 			delete(z.sums, from)
@@ -492,7 +492,7 @@
 }
 
 // elsewhere is what other regions show, by what this router knows; a quiet one knows it of those who spoke of the zone.
-func (b *Book) elsewhere(z *zone, s sight, now float64) (all sight) {
+func (b *Monitor) elsewhere(z *zone, s sight, now float64) (all sight) {
 	for _, o := range b.order {
 		if o.region != z.region {
 			all.add(b.sees(o, now))
@@ -509,7 +509,7 @@
 
 // rest is the part of the other regions' nodes that is in use. They bear what a zone that is left had: the fewer there are
 // beside those that are out already, the less trouble they may have themselves.
-func (b *Book) rest(z *zone) float64 {
+func (b *Monitor) rest(z *zone) float64 {
 	used, all := 0.0, 0.0
 	for _, o := range b.order {
 		if o.region == z.region {
@@ -528,7 +528,7 @@
 }
 
 // ownElsewhere is what this router itself saw of other regions.
-func (b *Book) ownElsewhere(z *zone, now float64) (all sight) {
+func (b *Monitor) ownElsewhere(z *zone, now float64) (all sight) {
 	for _, o := range b.order {
 		if o.region != z.region {
 			all.add(b.own(o, now))
@@ -538,7 +538,7 @@
 }
 
 // ill tells whether a zone fails as such, or is late as such.
-func (b *Book) ill(z *zone, s, other sight, now float64) bool {
+func (b *Monitor) ill(z *zone, s, other sight, now float64) bool {
 	switch {
 	case other.all() == 0: // no other to compare with
 		return false
@@ -567,7 +567,7 @@
 
 // ranks gives our place in the order for a zone, in which routers return; and where there are many, its last ones: they add
 // up what all say of it.
-func (b *Book) ranks(key uint32) (place int, gather []int) {
+func (b *Monitor) ranks(key uint32) (place int, gather []int) {
 	rank := func(router int) uint64 {
 		var b [8]byte
 		binary.BigEndian.PutUint32(b[:], key)
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -15,7 +15,7 @@
 	"eiderway/testing/scenario"
 )
 
-// fleet is many Books in virtual time. Each router reads at chance times from a node of a zone that it does not doubt, the
+// fleet is many Monitors in virtual time. Each router reads at chance times from a node of a zone that it does not doubt, the
 // way a splitter would where all have room.
 type fleet struct {
 	t       *testing.T
@@ -23,7 +23,7 @@
 	now     float64
 	zones   []string
 	regions map[string]string
-	books   []*Book
+	books   []*Monitor
 	home    []string
 	doubted [][]float64 // by router and node
 	nodes   []string    // their zones
@@ -81,7 +81,7 @@
 	}
 	for i := range routers {
 		f.home = append(f.home, zones[i%len(zones)])
-		b := New(Terms{Me: i, Routers: routers, Zone: f.home[i], Life: uint32(i + 1), Every: 0.4, Regions: f.regions})
+		b := New(Config{Me: i, Routers: routers, Zone: f.home[i], Life: uint32(i + 1), Every: 0.4, Regions: f.regions})
 		for k, z := range f.nodes {
 			b.Node(k, fmt.Sprint("n", k), z, k%3)
 		}
@@ -111,7 +111,7 @@
 			if k != i && (s.To == All || s.To == k) && !f.dead[k] && !f.silent[f.home[i]+">"+f.home[k]] && !f.cut[f.home[i]+">"+f.home[k]] {
 				f.bytes += len(s.Bytes)
 				f.after(0.0005+0.005*f.rng.Float64(), func() {
-					f.books[k].Take(i, s.Bytes, f.clock(k))
+					f.books[k].Receive(i, s.Bytes, f.clock(k))
 					f.act(k)
 				})
 			}
@@ -143,12 +143,12 @@
 // hold has a router number the steps, or nobody.
 func (f *fleet) hold(i int) {
 	if was := f.holder; was >= 0 {
-		f.books[was].Holds(false, 0, f.clock(was))
+		f.books[was].SetHolder(false, 0, f.clock(was))
 	}
 	f.speaks++
 	if f.holder = i; i >= 0 {
 		f.token++
-		f.books[i].Holds(true, f.token, f.clock(i))
+		f.books[i].SetHolder(true, f.token, f.clock(i))
 		f.act(i)
 	}
 }
@@ -192,7 +192,7 @@
 		if f.dead[i] {
 			return
 		}
-		f.books[i].Saw(n, 0, !bad, wait, f.clock(i))
+		f.books[i].RecordOutcome(n, 0, !bad, wait, f.clock(i))
 		f.act(i)
 	})
 }
@@ -261,7 +261,7 @@
 					f.dead[i] = true
 				}
 			case "order": // WHAT ZONE, asked of a router; "not" where it has to be refused
-				what := map[string]Hand{"auto": Auto, "leave": Leave, "hold": Hold}[w[1]]
+				what := map[string]Override{"auto": Auto, "leave": Leave, "hold": Hold}[w[1]]
 				i := int(num(3))
 				err := f.books[i].Order(w[2], what, f.clock(i))
 				if len(w) > 4 {
@@ -313,7 +313,7 @@
 			case "start": // a router starts anew
 				i := int(num(1))
 				f.dead[i] = false
-				f.books[i] = New(Terms{Me: i, Routers: len(f.books), Zone: f.home[i], Life: 99, Every: 0.4, Regions: f.regions})
+				f.books[i] = New(Config{Me: i, Routers: len(f.books), Zone: f.home[i], Life: 99, Every: 0.4, Regions: f.regions})
 				f.doubted[i] = make([]float64, len(f.nodes))
 				for k, z := range f.nodes {
 					f.books[i].Node(k, fmt.Sprint("n", k), z, k%3)
@@ -400,7 +400,7 @@
 }
 
 func TestWords(t *testing.T) {
-	b := New(Terms{Me: 0, Routers: 3, Zone: "a", Life: 1})
+	b := New(Config{Me: 0, Routers: 3, Zone: "a", Life: 1})
 	b.Node(0, "n0", "a", 0)
 	b.Node(1, "n1", "b", 0)
 	b.Node(2, "n2", "b", 0)
@@ -412,22 +412,22 @@
 	for i := range good {
 		spoilt := slices.Clone(good)
 		spoilt[i] ^= 4
-		require.False(t, b.Take(1, spoilt, 50), "byte %d", i)
+		require.False(t, b.Receive(1, spoilt, 50), "byte %d", i)
 	}
-	require.False(t, b.Take(2, good, 50), "from another's address")
-	require.True(t, b.Take(1, good, 50))
+	require.False(t, b.Receive(2, good, 50), "from another's address")
+	require.True(t, b.Receive(1, good, 50))
 	require.Equal(t, 9, b.sees(b.zones[hash("b")], 50).bad)
-	require.True(t, b.Take(1, word(5, 1100, 4), 53.1), "three seconds on its way")
-	require.Equal(t, int64(1), b.Counted().Old)
+	require.True(t, b.Receive(1, word(5, 1100, 4), 53.1), "three seconds on its way")
+	require.Equal(t, int64(1), b.Counts().Old)
 	require.Zero(t, b.sees(b.zones[hash("b")], 53.1).bad)
-	require.True(t, b.Take(1, word(5, 4100, 7), 53.1))
-	require.True(t, b.Take(1, word(5, 4050, 1), 53.1), "overtaken")
+	require.True(t, b.Receive(1, word(5, 4100, 7), 53.1))
+	require.True(t, b.Receive(1, word(5, 4050, 1), 53.1), "overtaken")
 	require.Equal(t, 7, b.sees(b.zones[hash("b")], 53.1).bad)
-	require.True(t, b.Take(1, word(6, 1, 3), 53.2), "it has started anew, its clock too")
+	require.True(t, b.Receive(1, word(6, 1, 3), 53.2), "it has started anew, its clock too")
 	require.Equal(t, 3, b.sees(b.zones[hash("b")], 53.2).bad)
 	b.Forget(1)
 	b.Forget(2)
-	require.True(t, b.Take(1, word(6, 50, 3), 53.25), "of a zone without nodes")
+	require.True(t, b.Receive(1, word(6, 50, 3), 53.25), "of a zone without nodes")
 	b.Node(1, "n1", "b", 0)
 	b.Node(1, "n1", "a", 0) // it was moved
 	require.Len(t, b.zones[hash("b")].nodes, 0)
@@ -513,7 +513,7 @@
 	back, err := parseWord(text)
 	require.NoError(t, err)
 	require.Equal(t, all, back)
-	b := New(Terms{Me: 0, Routers: 3, Zone: "a", Life: 1, Every: 0.4})
+	b := New(Config{Me: 0, Routers: 3, Zone: "a", Life: 1, Every: 0.4})
 	b.Node(0, "n0", "a", 0)
 	b.Node(1, "n1", "b", 0)
 	key := fmt.Sprintf("%x", hash("b"))
@@ -534,11 +534,11 @@
 
 // TestOrdersHaveRoom: there may be as many orders at a time as a word has room for; more zones than that may have had one.
 func TestOrdersHaveRoom(t *testing.T) {
-	b := New(Terms{Me: 0, Routers: 3, Zone: "z0", Life: 1, Every: 0.4})
+	b := New(Config{Me: 0, Routers: 3, Zone: "z0", Life: 1, Every: 0.4})
 	for k := range 2 * mostSaid {
 		b.Node(k, fmt.Sprint("n", k), fmt.Sprint("z", k), 0)
 	}
-	b.Holds(true, 9, 10)
+	b.SetHolder(true, 9, 10)
 	for k := range mostSaid {
 		require.NoError(t, b.Order(fmt.Sprint("z", k), Hold, 10))
 	}
@@ -549,7 +549,7 @@
 	require.NoError(t, b.Order(fmt.Sprint("z", mostSaid), Leave, 11))
 	text := b.Effects().Word
 	require.Contains(t, text, fmt.Sprintf("%x:0:1:", hash(fmt.Sprint("z", mostSaid))), "what stands comes first")
-	other := New(Terms{Me: 1, Routers: 3, Zone: "z0", Life: 2, Every: 0.4})
+	other := New(Config{Me: 1, Routers: 3, Zone: "z0", Life: 2, Every: 0.4})
 	for k := range 2 * mostSaid {
 		other.Node(k, fmt.Sprint("n", k), fmt.Sprint("z", k), 0)
 		other.zones[hash(fmt.Sprint("z", k))].number = 1 // it has heard orders that are over
