--- a/zone/steps.go
+++ b/zone/steps.go
@@ -6,152 +6,154 @@
 import "math"
 
 // follows tells whether a holder's word paces the steps: one that was heard of late.
-func (b *Monitor) follows(now float64) bool {
-	return !b.holds && now-b.heard < max(wordFresh, b.terms.Every*wordsLost)
+func (m *Monitor) followsHolder(now float64) bool {
+	return !m.isHolder && now-m.wordAt < max(wordTTL, m.config.Every*maxMissedWords)
 }
 
 // weigh looks whether a zone's step is due. Whoever sees that a zone fails leaves it at once. How it returns is the holder's
 // to say where its word had it left, or else by our own sums.
-func (b *Monitor) weigh(z *zone, now float64) {
-	if z.hand != Auto {
+func (m *Monitor) evaluate(z *zone, now float64) {
+	if z.override != Auto {
 		return
 	}
-	s := b.sees(z, now)
-	if !z.out && s.late+s.bad == 0 {
+	s := m.bestEvidence(z, now)
+	if !z.isLeft && s.late+s.bad == 0 {
 		return
 	}
-	other := b.elsewhere(z, s, now)
-	if b.holds && z.out && !z.wide && s.homes.several() {
-		z.wide = true
-		b.say()
+	other := m.evidenceElsewhere(z, s, now)
+	if m.isHolder && z.isLeft && !z.forHolder && s.homes.several() {
+		z.forHolder = true
+		m.publishWord()
+	}
+	troubled := func(late bool) bool {
+		return other.share(late) <= maxElsewhereShare*s.share(late) && now-z.stepAt > countsInterval
 	}
-	troubled := func(late bool) bool { return other.share(late) <= elseShare*s.share(late) && now-z.since > tellEvery }
 	kind, share := Left, 0.0
 	switch {
-	case !z.out:
-		if !b.ill(z, s, other, now) {
+	case !z.isLeft:
+		if !m.isFailing(z, s, other, now) {
 			return
 		}
-		if z.flaps++; now-z.failed > calm {
+		if z.flaps++; now-z.leftAt > flapMemory {
 			z.flaps = 0
 		}
-		z.failed, z.most, z.alone = now, 1, true
-		b.counted.Leaves++
-	case z.share > 0 && s.bad >= failedBad && s.share(false) >= failedBack && troubled(false):
-		if z.failed = now; z.share >= flapShare {
+		z.leftAt, z.fastShare, z.decidedLocally = now, 1, true
+		m.counts.Leaves++
+	case z.share > 0 && s.bad >= minFailedReturnBad && s.share(false) >= failedReturnShare && troubled(false):
+		if z.leftAt = now; z.share >= minFlapShare {
 			z.flaps++
 		}
-		z.alone = true
-		b.counted.Leaves++
-	case b.follows(now) && !z.alone: // the rest is the holder's to say
+		z.decidedLocally = true
+		m.counts.Leaves++
+	case m.followsHolder(now) && !z.decidedLocally: // the rest is the holder's to say
 		return
-	case z.share > 0 && s.late+s.bad >= failedBad && s.share(true) >= lateBack && troubled(true):
-		if now-z.since < stepEvery {
+	case z.share > 0 && s.late+s.bad >= minFailedReturnBad && s.share(true) >= lateReturnShare && troubled(true):
+		if now-z.stepAt < stepInterval {
 			return
 		}
-		kind, share = Slower, z.share/growth
-		if z.most = share; share < b.first() {
-			kind, share, z.failed, z.most = Left, 0, now, 1
-			b.counted.Leaves++
+		kind, share = Slower, z.share/shareGrowth
+		if z.fastShare = share; share < m.firstReturnShare() {
+			kind, share, z.leftAt, z.fastShare = Left, 0, now, 1
+			m.counts.Leaves++
 		}
-	case z.share == 0 && now-z.since < min(stayMost, stay*math.Pow(2, float64(z.flaps))):
+	case z.share == 0 && now-z.stepAt < min(maxLeftTime, minLeftTime*math.Pow(2, float64(z.flaps))):
 		return
-	case z.share > 0 && (now-z.since < stepEvery || s.good < stepGood && now-z.since < stepWait):
+	case z.share > 0 && (now-z.stepAt < stepInterval || s.good < minStepGood && now-z.stepAt < maxStepWait):
 		return
 	case z.share >= 1:
-		b.step(z, Back, 1, s, other, now)
+		m.takeStep(z, Back, 1, s, other, now)
 		return
 	case z.share == 0:
-		kind, share = Returning, b.first()
-	case z.share >= z.most:
-		kind, share = Returning, min(1, z.share*careful)
+		kind, share = Returning, m.firstReturnShare()
+	case z.share >= z.fastShare:
+		kind, share = Returning, min(1, z.share*carefulGrowth)
 	default:
-		kind, share = Returning, min(1, z.share*growth)
+		kind, share = Returning, min(1, z.share*shareGrowth)
 	}
-	b.step(z, kind, share, s, other, now)
+	m.takeStep(z, kind, share, s, other, now)
 }
 
 // first is the share that returns first.
-func (b *Monitor) first() float64 {
-	return min(1, max(firstShare, firstLooks/float64(b.terms.Routers)))
+func (m *Monitor) firstReturnShare() float64 {
+	return min(1, max(minFirstShare, minFirstRouters/float64(m.config.Routers)))
 }
 
 // step takes one.
-func (b *Monitor) step(z *zone, kind Kind, share float64, s, other sight, now float64) {
-	z.out, z.share, z.since = kind != Back, math.Round(share*shareParts)/shareParts, now
+func (m *Monitor) takeStep(z *zone, kind Kind, share float64, s, other evidence, now float64) {
+	z.isLeft, z.share, z.stepAt = kind != Back, math.Round(share*shareSteps)/shareSteps, now
 	if kind == Left {
 		z.unlearn(now)
 	}
 	if kind == Back {
-		z.alone, z.wide = false, false
-		b.counted.Returns++
+		z.decidedLocally, z.forHolder = false, false
+		m.counts.Returns++
 	} else {
-		z.wide = z.wide || s.homes.several()
+		z.forHolder = z.forHolder || s.homes.several()
 	}
-	b.happened(z, Event{Kind: kind, Bad: s.bad, Late: s.late, Good: s.good, Voices: s.voices, Else: other.share(true)})
-	b.doubt(z, now)
-	if b.holds {
-		b.say()
+	m.emit(z, Event{Kind: kind, Bad: s.bad, Late: s.late, Good: s.good, Voices: s.voices, Else: other.share(true)})
+	m.updateDoubts(z, now)
+	if m.isHolder {
+		m.publishWord()
 	}
 }
 
-func (b *Monitor) happened(z *zone, e Event) {
-	e.Zone, e.Share, e.Hand = z.name, z.share, z.hand
-	b.out.Events = append(b.out.Events, e)
+func (m *Monitor) emit(z *zone, e Event) {
+	e.Zone, e.Share, e.Hand = z.name, z.share, z.override
+	m.effects.Events = append(m.effects.Events, e)
 }
 
 // uses tells whether this router is among those that use a zone: the order is the same at all, and another for each zone.
-func (b *Monitor) uses(z *zone) bool {
-	return !z.out || float64(z.place) < z.share*float64(b.terms.Routers)
+func (m *Monitor) usesZone(z *zone) bool {
+	return !z.isLeft || float64(z.returnRank) < z.share*float64(m.config.Routers)
 }
 
 // doubt has the splitter prefer other zones, or ends that.
-func (b *Monitor) doubt(z *zone, now float64) {
-	z.renew = now + renewEach
-	until, was := now, z.doubted
-	if z.doubted = !b.uses(z); z.doubted {
-		until = now + doubtFor
+func (m *Monitor) updateDoubts(z *zone, now float64) {
+	z.renewAt = now + renewInterval
+	until, was := now, z.isDoubted
+	if z.isDoubted = !m.usesZone(z); z.isDoubted {
+		until = now + doubtTime
 	} else if !was { // it has ended already
 		return
 	}
 	for _, n := range z.nodes {
-		b.out.Doubts = append(b.out.Doubts, Doubt{n.id, until})
+		m.effects.Doubts = append(m.effects.Doubts, Doubt{n.id, until})
 	}
 }
 
 // looksOn tells whether a zone is looked at: it is out, or was returned to just now.
-func (z *zone) looksOn() bool { return z.out || z.renew < z.since+settling }
+func (z *zone) isWatched() bool { return z.isLeft || z.renewAt < z.stepAt+probeAfterReturn }
 
 // Next is when Step is due.
-func (b *Monitor) Next() float64 {
+func (m *Monitor) Next() float64 {
 	next := math.Inf(1)
-	for _, z := range b.order {
-		if z.looksOn() {
-			next = min(next, z.renew)
+	for _, z := range m.sortedZones {
+		if z.isWatched() {
+			next = min(next, z.renewAt)
 		}
 	}
-	for _, w := range b.wishes {
+	for _, w := range m.pending {
 		next = min(next, w.next)
 	}
 	return next
 }
 
 // Step does what is due.
-func (b *Monitor) Step(now float64) {
-	b.urge(now)
-	for _, z := range b.order {
-		if now < z.renew || !z.looksOn() {
+func (m *Monitor) Step(now float64) {
+	m.sendPendingOrders(now)
+	for _, z := range m.sortedZones {
+		if now < z.renewAt || !z.isWatched() {
 			continue
 		}
-		z.renew = now + renewEach
-		if b.uses(z) {
-			b.look(z, now)
+		z.renewAt = now + renewInterval
+		if m.usesZone(z) {
+			m.requestProbes(z, now)
 		}
-		b.weigh(z, now)
-		if z.out {
-			b.doubt(z, now)
-			if z.loud || z.share > 0 {
-				b.tell(z, now)
+		m.evaluate(z, now)
+		if z.isLeft {
+			m.updateDoubts(z, now)
+			if z.lastCountsMatter || z.share > 0 {
+				m.sendCounts(z, now)
 			}
 		}
 	}
@@ -160,43 +162,43 @@
 // look has routers that return probe nodes that they have not used of late, each its even part of what nodes bear. Whether a
 // replica may be read from is known from its answers, and one that nobody uses gives none: it would hardly be used again,
 // whatever its zone's share. One that has its even part of this router's submissions needs no looks: they would draw more.
-func (b *Monitor) look(z *zone, now float64) {
-	mine, all, nodes := b.own(z, now), sight{}, 0
-	for _, o := range b.order {
-		all.add(b.own(o, now))
+func (m *Monitor) requestProbes(z *zone, now float64) {
+	mine, all, nodes := m.ownEvidence(z, now), evidence{}, 0
+	for _, o := range m.sortedZones {
+		all.add(m.ownEvidence(o, now))
 		nodes += len(o.nodes)
 	}
-	if all.all() > 0 && mine.all()*nodes >= all.all()*len(z.nodes) {
+	if all.total() > 0 && mine.total()*nodes >= all.total()*len(z.nodes) {
 		return
 	}
-	users := max(1, z.share*float64(b.terms.Routers))
-	z.looks = min(z.looks+renewEach*lookRate*float64(len(z.nodes))/users, float64(len(z.nodes)))
+	users := max(1, z.share*float64(m.config.Routers))
+	z.probeCredit = min(z.probeCredit+renewInterval*nodeProbeRate*float64(len(z.nodes))/users, float64(len(z.nodes)))
 	for range z.nodes {
-		if z.looks < 1 {
+		if z.probeCredit < 1 {
 			return
 		}
-		z.looked = (z.looked + 1) % len(z.nodes)
-		if n := z.nodes[z.looked]; n.seen.sum(now) == ([outcomes]int{}) {
-			z.looks--
-			b.counted.Looks++
-			b.out.Looks = append(b.out.Looks, n.id)
+		z.lastProbed = (z.lastProbed + 1) % len(z.nodes)
+		if n := z.nodes[z.lastProbed]; n.seen.sum(now) == ([outcomes]int{}) {
+			z.probeCredit--
+			m.counts.Looks++
+			m.effects.Looks = append(m.effects.Looks, n.id)
 		}
 	}
 }
 
 // bears notes how much a zone was seen to give here while all was well with it.
-func (z *zone) bears(now float64) {
-	if now-z.peakAt < window/slots {
+func (z *zone) updatePeak(now float64) {
+	if now-z.peakAt < window/windowParts {
 		return
 	}
-	var s sight
+	var s evidence
 	for _, n := range z.nodes {
 		x := n.seen.sum(now)
 		s.good, s.late, s.bad = s.good+x[good], s.late+x[late], s.bad+x[bad]
 	}
-	z.peak *= math.Pow(0.5, (now-z.peakAt)/peakFor)
+	z.peakRate *= math.Pow(0.5, (now-z.peakAt)/peakHalfLife)
 	z.peakAt = now
 	if s.share(true) < 0.1 {
-		z.peak = max(z.peak, float64(s.good)/window)
+		z.peakRate = max(z.peakRate, float64(s.good)/window)
 	}
 }
--- a/zone/wire.go
+++ b/zone/wire.go
@@ -18,12 +18,12 @@
 const (
 	kindCounts = First + iota // what one router saw of a zone
 	kindSum                   // what a gatherer has heard of it
-	kindWish                  // an order for the holder
+	kindOrder                 // an order for the holder
 )
 
-const mostBytes = 64
+const maxDatagramBytes = 64
 
-var errSpoilt = errors.New("no datagram of ours")
+var errMalformed = errors.New("no datagram of ours")
 
 // head begins each datagram.
 type head struct {
@@ -55,14 +55,14 @@
 
 // wish asks the holder for an order. One that has its number is told to a holder that does not know of it; a new one bears
 // the number of the order that it follows, so that it counts once, however often it comes.
-type wish struct {
+type orderRequest struct {
 	head
 	Number uint64
 	What   uint8
 }
 
 func format(kind byte, x any) []byte {
-	b := make([]byte, 5, mostBytes)
+	b := make([]byte, 5, maxDatagramBytes)
 	b[0] = kind
 	b, _ = binary.Append(b, binary.BigEndian, x)
 	binary.BigEndian.PutUint32(b[1:], check(b))
@@ -77,7 +77,7 @@
 // parse gives a *counts, *sum or *wish.
 func parse(b []byte) (any, *head, error) {
 	if len(b) < 5 || binary.BigEndian.Uint32(b[1:]) != check(b) {
-		return nil, nil, errSpoilt
+		return nil, nil, errMalformed
 	}
 	var x any
 	var h *head
@@ -88,14 +88,14 @@
 	case kindSum:
 		s := &sum{}
 		x, h = s, &s.head
-	case kindWish:
-		w := &wish{}
+	case kindOrder:
+		w := &orderRequest{}
 		x, h = w, &w.head
 	default:
-		return nil, nil, errSpoilt
+		return nil, nil, errMalformed
 	}
 	if n, err := binary.Decode(b[5:], binary.BigEndian, x); err != nil || n != len(b)-5 {
-		return nil, nil, errSpoilt
+		return nil, nil, errMalformed
 	}
 	return x, h, nil
 }
@@ -103,7 +103,7 @@
 func hash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // said is an entry of the holder's word: a zone that is out, or that operators have ordered something for.
-type said struct {
+type wordEntry struct {
 	key    uint32
 	share  float64
 	hand   Override
@@ -111,7 +111,7 @@
 }
 
 // formatWord writes a word: KEY:SHARE:HAND:NUMBER, by commas; "-" where there is nothing to say.
-func formatWord(all []said) string {
+func formatWord(all []wordEntry) string {
 	var parts []string
 	for _, s := range all {
 		parts = append(parts, fmt.Sprintf("%x:%s:%d:%x", s.key, strconv.FormatFloat(s.share, 'g', 4, 64), s.hand, s.number))
@@ -122,23 +122,23 @@
 	return strings.Join(parts, ",")
 }
 
-func parseWord(text string) (out []said, err error) {
+func parseWord(text string) (out []wordEntry, err error) {
 	if text == "-" || text == "" {
 		return nil, nil
 	}
 	for _, part := range strings.Split(text, ",") {
 		f := strings.Split(part, ":")
 		if len(f) != 4 {
-			return nil, errSpoilt
+			return nil, errMalformed
 		}
 		key, err1 := strconv.ParseUint(f[0], 16, 32)
 		share, err2 := strconv.ParseFloat(f[1], 64)
 		hand, err3 := strconv.ParseUint(f[2], 10, 8)
 		number, err4 := strconv.ParseUint(f[3], 16, 64)
 		if errors.Join(err1, err2, err3, err4) != nil || !(share >= 0 && share <= 1) || hand > uint64(Hold) {
-			return nil, errSpoilt
+			return nil, errMalformed
 		}
-		out = append(out, said{uint32(key), share, Override(hand), number})
+		out = append(out, wordEntry{uint32(key), share, Override(hand), number})
 	}
 	return out, nil
 }
--- a/zone/zone.go
+++ b/zone/zone.go
@@ -17,19 +17,19 @@
 
 // Monitor is one router's part. Nodes are emptied by Forget; zones grow with the names ever listed, words with zones and peers.
 type Monitor struct {
-	terms   Config
-	nodes   []*node
-	zones   map[uint32]*zone
-	order   []*zone
-	offsets []offset // by peer
-	out     Effects
-	counted Counts
-	holds   bool   // this router numbers the steps
-	token   uint64 // of that
-	ordered uint64 // orders numbered under it
-	leader  int    // whose word was obeyed last; -1: nobody's
-	heard   float64
-	wishes  []*wanted
+	config         Config
+	nodes          []*node
+	zones          map[uint32]*zone
+	sortedZones    []*zone
+	offsets        []offset // by peer
+	effects        Effects
+	counts         Counts
+	isHolder       bool   // this router numbers the steps
+	token          uint64 // of that
+	ordersNumbered uint64 // orders numbered under it
+	holder         int    // whose word was obeyed last; -1: nobody's
+	wordAt         float64
+	pending        []*pendingOrder
 }
 
 type node struct {
@@ -52,24 +52,24 @@
 // tally is outcomes of the last window, by parts of it.
 type tally struct {
 	part int64 // number of the newest
-	n    [outcomes][slots]uint16
+	n    [outcomes][windowParts]uint16
 }
 
 func (t *tally) roll(now float64) {
-	part := int64(now / (window / slots))
-	if part-t.part >= slots {
+	part := int64(now / (window / windowParts))
+	if part-t.part >= windowParts {
 		*t = tally{part: part}
 	}
 	for ; t.part < part; t.part++ {
 		for o := range outcomes {
-			t.n[o][(t.part+1)%slots] = 0
+			t.n[o][(t.part+1)%windowParts] = 0
 		}
 	}
 }
 
 func (t *tally) add(o outcome, now float64) {
 	t.roll(now)
-	t.n[o][t.part%slots]++
+	t.n[o][t.part%windowParts]++
 }
 
 func (t *tally) sum(now float64) (out [outcomes]int) {
@@ -91,18 +91,18 @@
 
 // learn takes a latency, and tells whether it is late.
 func (u *usual) learn(latency, now float64) bool {
-	if u.n < learnFirst {
+	if u.n < learnCount {
 		u.at = now
 		u.n++
 		u.mean += (latency - u.mean) / float64(u.n)
 		return false
 	}
-	gain, over := slower, latency > lateBy*u.mean+lateLeast
+	gain, over := slowerWeight, latency > lateFactor*u.mean+lateMargin
 	switch {
 	case over:
-		gain = muchSlower
+		gain = lateWeight
 	case latency < u.mean:
-		gain = quicker
+		gain = quickerWeight
 	}
 	u.mean += gain * (latency - u.mean)
 	return over
@@ -111,19 +111,19 @@
 // borrow has a zone that is out begin with what is usual elsewhere, the longest of it, where this router knows nothing of its
 // own: else it would learn from the answers of a zone that is slow, and call them good. It may harm where a zone is far: who
 // has never used it then learns that from some hundred late answers.
-func (b *Monitor) borrow(z *zone, typ int) {
+func (m *Monitor) borrowUsual(z *zone, typ int) {
 	u := &z.usual[typ]
-	if u.n >= learnFirst {
+	if u.n >= learnCount {
 		return
 	}
 	longest := 0.0
-	for _, o := range b.order {
-		if o.region != z.region && typ < len(o.usual) && o.usual[typ].n >= learnFirst {
+	for _, o := range m.sortedZones {
+		if o.region != z.region && typ < len(o.usual) && o.usual[typ].n >= learnCount {
 			longest = max(longest, o.usual[typ].mean)
 		}
 	}
 	if longest > 0 {
-		u.n, u.mean = learnFirst, longest
+		u.n, u.mean = learnCount, longest
 	}
 }
 
@@ -143,136 +143,136 @@
 	has  bool
 }
 
-type word struct {
+type report struct {
 	at   float64
 	life uint32
 	sent uint32
-	sight
+	evidence
 }
 
 type zone struct {
-	name    string
-	key     uint32
-	region  string
-	nodes   []*node
-	usual   []usual      // by txn type
-	words   map[int]word // of peers, the newest of each
-	sums    map[int]word // of gatherers
-	told    float64
-	summed  float64
-	loud    bool    // our last counts had bad ones, or it is returning: a good word is news
-	out     bool    // left, or returning
-	alone   bool    // by our own sums, not by the holder's word
-	wide    bool    // routers of several zones have trouble with it: it is for the holder's word
-	share   float64 // of routers that use it while out
-	most    float64 // share up to which it returns quickly
-	place   int     // ours in the order in which they return
-	gather  []int   // who adds up what all say of it
-	since   float64 // of the last step
-	flaps   int
-	failed  float64 // when it was last left
-	renew   float64
-	doubted bool    // its nodes were, when last looked at
-	looked  int     // the node that was looked at last, by its place among them
-	looks   float64 // that may be made now
-	hand    Override
-	number  uint64  // of that order; 0: there was none
-	peak    float64 // answers a second that it was seen to bear, here
-	peakAt  float64
+	name             string
+	key              uint32
+	region           string
+	nodes            []*node
+	usual            []usual        // by txn type
+	reports          map[int]report // of peers, the newest of each
+	sums             map[int]report // of gatherers
+	countsSentAt     float64
+	sumSentAt        float64
+	lastCountsMatter bool    // our last counts had bad ones, or it is returning: a good word is news
+	isLeft           bool    // left, or returning
+	decidedLocally   bool    // by our own sums, not by the holder's word
+	forHolder        bool    // routers of several zones have trouble with it: it is for the holder's word
+	share            float64 // of routers that use it while out
+	fastShare        float64 // share up to which it returns quickly
+	returnRank       int     // ours in the order in which they return
+	gatherers        []int   // who adds up what all say of it
+	stepAt           float64 // of the last step
+	flaps            int
+	leftAt           float64 // when it was last left
+	renewAt          float64
+	isDoubted        bool    // its nodes were, when last looked at
+	lastProbed       int     // the node that was looked at last, by its place among them
+	probeCredit      float64 // that may be made now
+	override         Override
+	orderNumber      uint64  // of that order; 0: there was none
+	peakRate         float64 // answers a second that it was seen to bear, here
+	peakAt           float64
 }
 
 // New makes a Monitor that has seen nothing.
-func New(t Config) *Monitor {
-	return &Monitor{terms: t, zones: map[uint32]*zone{}, offsets: make([]offset, t.Routers), leader: -1, heard: math.Inf(-1)}
+func New(c Config) *Monitor {
+	return &Monitor{config: c, zones: map[uint32]*zone{}, offsets: make([]offset, c.Routers), holder: -1, wordAt: math.Inf(-1)}
 }
 
 // Effects hands over what is to be done, once.
-func (b *Monitor) Effects() Effects {
-	out := b.out
-	b.out = Effects{}
+func (m *Monitor) Effects() Effects {
+	out := m.effects
+	m.effects = Effects{}
 	return out
 }
 
 // Counts tells the counts.
-func (b *Monitor) Counts() Counts { return b.counted }
+func (m *Monitor) Counts() Counts { return m.counts }
 
 // zone finds one by its key; a word may name one whose nodes are not listed here yet.
-func (b *Monitor) zone(key uint32, name string) *zone {
-	z := b.zones[key]
+func (m *Monitor) zone(key uint32, name string) *zone {
+	z := m.zones[key]
 	if z == nil {
-		z = &zone{key: key, words: map[int]word{}, sums: map[int]word{}, share: 1, most: 1, failed: math.Inf(-1), since: math.Inf(-1)}
-		z.place, z.gather = b.ranks(key)
-		b.zones[key] = z
-		b.order = append(b.order, z)
+		z = &zone{key: key, reports: map[int]report{}, sums: map[int]report{}, share: 1, fastShare: 1, leftAt: math.Inf(-1), stepAt: math.Inf(-1)}
+		z.returnRank, z.gatherers = m.rankRouters(key)
+		m.zones[key] = z
+		m.sortedZones = append(m.sortedZones, z)
 	}
 	if z.name == "" || name != "" {
 		z.name = name
 		if name == "" {
 			z.name = fmt.Sprintf("?%x", key)
 		}
-		if z.region = b.terms.Regions[z.name]; z.region == "" {
+		if z.region = m.config.Regions[z.name]; z.region == "" {
 			z.region = z.name
 		}
-		slices.SortFunc(b.order, func(a, b *zone) int { return strings.Compare(a.name, b.name) })
+		slices.SortFunc(m.sortedZones, func(x, y *zone) int { return strings.Compare(x.name, y.name) })
 	}
 	return z
 }
 
 // Node names a member of the list, its group and its zone. One without a zone is in none.
-func (b *Monitor) Node(id int, uid, name string, group int) {
-	for id >= len(b.nodes) {
-		b.nodes = append(b.nodes, nil)
+func (m *Monitor) Node(id int, uid, name string, group int) {
+	for id >= len(m.nodes) {
+		m.nodes = append(m.nodes, nil)
 	}
-	if name == "" || b.nodes[id] != nil && b.nodes[id].zone.name == name {
+	if name == "" || m.nodes[id] != nil && m.nodes[id].zone.name == name {
 		return
 	}
-	b.Forget(id)
-	z := b.zone(hash(name), name)
+	m.Forget(id)
+	z := m.zone(hash(name), name)
 	n := &node{id: id, group: group, bit: 1 << (hash(uid) % 16), zone: z}
-	b.nodes[id] = n
+	m.nodes[id] = n
 	z.nodes = append(z.nodes, n)
 }
 
 // Forget ends a node: its index may stand for another.
-func (b *Monitor) Forget(id int) {
-	if id >= len(b.nodes) || b.nodes[id] == nil {
+func (m *Monitor) Forget(id int) {
+	if id >= len(m.nodes) || m.nodes[id] == nil {
 		return
 	}
-	z := b.nodes[id].zone
+	z := m.nodes[id].zone
 	z.nodes = slices.DeleteFunc(z.nodes, func(n *node) bool { return n.id == id })
-	b.nodes[id] = nil
+	m.nodes[id] = nil
 }
 
 // RecordOutcome tells how a submission of a txn type ended, and after how long. What a node turns away or misses shows nothing of its
 // zone, and is not told here.
-func (b *Monitor) RecordOutcome(id, typ int, ok bool, latency, now float64) {
-	if id >= len(b.nodes) || b.nodes[id] == nil || typ < 0 {
+func (m *Monitor) RecordOutcome(id, typ int, ok bool, latency, now float64) {
+	if id >= len(m.nodes) || m.nodes[id] == nil || typ < 0 {
 		return
 	}
-	n := b.nodes[id]
+	n := m.nodes[id]
 	z := n.zone
 	for typ >= len(z.usual) {
 		z.usual = append(z.usual, usual{})
 	}
 	o := bad
 	if ok {
-		if z.out {
-			b.borrow(z, typ)
+		if z.isLeft {
+			m.borrowUsual(z, typ)
 		}
 		if o = good; z.usual[typ].learn(latency, now) {
 			o = late
 		}
 	}
 	n.seen.add(o, now)
-	z.bears(now)
-	if (o != good || z.loud) && now-z.told >= tellEvery {
-		b.tell(z, now)
+	z.updatePeak(now)
+	if (o != good || z.lastCountsMatter) && now-z.countsSentAt >= countsInterval {
+		m.sendCounts(z, now)
 	}
-	b.weigh(z, now)
+	m.evaluate(z, now)
 }
 
 // own sums what this router saw of a zone.
-func (b *Monitor) own(z *zone, now float64) (s sight) {
+func (m *Monitor) ownEvidence(z *zone, now float64) (s evidence) {
 	for _, n := range z.nodes {
 		x := n.seen.sum(now)
 		s.good, s.late, s.bad = s.good+x[good], s.late+x[late], s.bad+x[bad]
@@ -284,116 +284,116 @@
 		}
 	}
 	if s.late+s.bad > 0 {
-		s.voices, s.homes = 1, homes{hash(b.terms.Zone)}
+		s.voices, s.homes = 1, homes{hash(m.config.Zone)}
 	}
 	return s
 }
 
 // send writes a datagram, with our head.
-func (b *Monitor) send(to int, kind byte, h *head, x any, z *zone, now float64) {
-	*h = head{uint16(b.terms.Me), b.terms.Life, uint32(int64(now * 1000)), z.key}
+func (m *Monitor) send(to int, kind byte, h *head, x any, z *zone, now float64) {
+	*h = head{uint16(m.config.Me), m.config.Life, uint32(int64(now * 1000)), z.key}
 	text := format(kind, x)
-	b.counted.Tells++
-	b.counted.Bytes += int64(len(text))
-	b.out.Sends = append(b.out.Sends, Send{to, text})
+	m.counts.Tells++
+	m.counts.Bytes += int64(len(text))
+	m.effects.Sends = append(m.effects.Sends, Send{to, text})
 }
 
 // tell says our counts of a zone, to all or to those who gather.
-func (b *Monitor) tell(z *zone, now float64) {
-	s := b.own(z, now)
-	z.told, z.loud = now, s.late+s.bad > 0 || z.out
-	if b.terms.Routers < 2 {
+func (m *Monitor) sendCounts(z *zone, now float64) {
+	s := m.ownEvidence(z, now)
+	z.countsSentAt, z.lastCountsMatter = now, s.late+s.bad > 0 || z.isLeft
+	if m.config.Routers < 2 {
 		return
 	}
-	s.others(b.ownElsewhere(z, now))
-	c := counts{Else: uint16(s.elses), ElseBad: uint16(s.elseBad), Home: hash(b.terms.Zone), Good: uint16(s.good), Late: uint16(s.late), Bad: uint16(s.bad), Nodes: s.nodes, Used: s.used}
-	if b.terms.Routers < gatherFrom {
-		b.send(All, kindCounts, &c.head, &c, z, now)
+	s.addElsewhere(m.ownEvidenceElsewhere(z, now))
+	c := counts{Else: uint16(s.elsewhere), ElseBad: uint16(s.elsewhereBad), Home: hash(m.config.Zone), Good: uint16(s.good), Late: uint16(s.late), Bad: uint16(s.bad), Nodes: s.nodes, Used: s.used}
+	if m.config.Routers < gatherFromRouters {
+		m.send(All, kindCounts, &c.head, &c, z, now)
 		return
 	}
-	for _, r := range z.gather {
-		if r != b.terms.Me {
-			b.send(r, kindCounts, &c.head, &c, z, now)
+	for _, r := range z.gatherers {
+		if r != m.config.Me {
+			m.send(r, kindCounts, &c.head, &c, z, now)
 		}
 	}
-	b.addUp(z, now)
+	m.sendSum(z, now)
 }
 
 // addUp tells all what we have heard, where we gather: seldom while nothing could come of it, and not where two that come
 // before us have just said as much.
-func (b *Monitor) addUp(z *zone, now float64) {
-	if now-z.summed < sumEvery || !slices.Contains(z.gather, b.terms.Me) {
+func (m *Monitor) sendSum(z *zone, now float64) {
+	if now-z.sumSentAt < sumInterval || !slices.Contains(z.gatherers, m.config.Me) {
 		return
 	}
-	s, every := b.hears(z, now), sumEvery
-	if s.late+s.bad == 0 && !z.out {
+	s, every := m.heardEvidence(z, now), sumInterval
+	if s.late+s.bad == 0 && !z.isLeft {
 		return
 	}
-	if s.share(true) < quietShare && !z.out {
-		every = quietEvery
+	if s.share(true) < quietShare && !z.isLeft {
+		every = quietSumInterval
 	}
 	said := 0
-	for _, r := range z.gather[:slices.Index(z.gather, b.terms.Me)] {
-		if w, ok := z.sums[r]; ok && now-w.at < saidFor*every && float64(w.all()) >= saidShare*float64(s.all()) {
+	for _, r := range z.gatherers[:slices.Index(z.gatherers, m.config.Me)] {
+		if w, ok := z.sums[r]; ok && now-w.at < sumValidFactor*every && float64(w.total()) >= sumCoverShare*float64(s.total()) {
 			said++
 		}
 	}
-	if now-z.summed < every || said >= speakers {
+	if now-z.sumSentAt < every || said >= enoughSums {
 		return
 	}
-	z.summed = now
-	s.others(b.ownElsewhere(z, now))
-	x := sum{Else: uint32(s.elses), ElseBad: uint32(s.elseBad), Good: uint32(s.good), Late: uint32(s.late), Bad: uint32(s.bad), Voices: uint16(s.voices), Homes: s.homes, Nodes: s.nodes, Used: s.used}
-	b.send(All, kindSum, &x.head, &x, z, now)
+	z.sumSentAt = now
+	s.addElsewhere(m.ownEvidenceElsewhere(z, now))
+	x := sum{Else: uint32(s.elsewhere), ElseBad: uint32(s.elsewhereBad), Good: uint32(s.good), Late: uint32(s.late), Bad: uint32(s.bad), Voices: uint16(s.voices), Homes: s.homes, Nodes: s.nodes, Used: s.used}
+	m.send(All, kindSum, &x.head, &x, z, now)
 }
 
 // Receive takes a datagram that came from the address of a peer, and tells whether it was one of ours. One that was long on its
 // way, or overtaken, says nothing.
-func (b *Monitor) Receive(from int, datagram []byte, now float64) bool {
+func (m *Monitor) Receive(from int, datagram []byte, now float64) bool {
 	x, h, err := parse(datagram)
-	if err != nil || int(h.From) != from || from == b.terms.Me || from >= len(b.offsets) {
-		b.counted.Spoilt++
+	if err != nil || int(h.From) != from || from == m.config.Me || from >= len(m.offsets) {
+		m.counts.Spoilt++
 		return false
 	}
-	b.counted.Taken++
-	if w, ok := x.(*wish); ok { // its number says whether it is old
-		b.asked(w, now)
+	m.counts.Taken++
+	if w, ok := x.(*orderRequest); ok { // its number says whether it is old
+		m.receiveOrder(w, now)
 		return true
 	}
-	o := &b.offsets[from]
+	o := &m.offsets[from]
 	ms := now*1000 - float64(h.At)
 	if !o.has || o.life != h.Life {
 		*o = offset{life: h.Life, ms: ms, has: true}
 	}
 	if d := math.Remainder(ms-o.ms, 1<<32); d < 0 {
 		o.ms = ms
-	} else if d > oldWord*1000 {
-		b.counted.Old++
+	} else if d > maxDelay*1000 {
+		m.counts.Old++
 		return true
 	}
-	z := b.zones[h.Zone]
+	z := m.zones[h.Zone]
 	if z == nil || len(z.nodes) == 0 {
 		return true
 	}
-	w, in := word{at: now, life: h.Life, sent: h.At}, z.words
+	w, in := report{at: now, life: h.Life, sent: h.At}, z.reports
 	switch x := x.(type) {
 	case *counts:
-		w.sight = sight{good: int(x.Good), late: int(x.Late), bad: int(x.Bad), nodes: x.Nodes, used: x.Used, elses: int(x.Else), elseBad: int(x.ElseBad)}
+		w.evidence = evidence{good: int(x.Good), late: int(x.Late), bad: int(x.Bad), nodes: x.Nodes, used: x.Used, elsewhere: int(x.Else), elsewhereBad: int(x.ElseBad)}
 		if x.Late+x.Bad > 0 {
 			w.voices, w.homes = 1, homes{x.Home}
 		}
 	case *sum:
 		in = z.sums
-		w.sight = sight{good: int(x.Good), late: int(x.Late), bad: int(x.Bad), voices: int(x.Voices), homes: x.Homes, nodes: x.Nodes, used: x.Used,
-			elses: int(x.Else), elseBad: int(x.ElseBad)}
+		w.evidence = evidence{good: int(x.Good), late: int(x.Late), bad: int(x.Bad), voices: int(x.Voices), homes: x.Homes, nodes: x.Nodes, used: x.Used,
+			elsewhere: int(x.Else), elsewhereBad: int(x.ElseBad)}
 	}
 	if was, ok := in[from]; ok && was.life == h.Life && int32(h.At-was.sent) < 0 {
-		b.counted.Old++
+		m.counts.Old++
 		return true
 	}
 	in[from] = w
-	b.addUp(z, now)
-	b.weigh(z, now)
+	m.sendSum(z, now)
+	m.evaluate(z, now)
 	return true
 }
 
@@ -416,72 +416,74 @@
 }
 
 // sight is what some routers together saw of a zone of late.
-type sight struct {
+type evidence struct {
 	good, late, bad, voices int
 	homes                   homes
 	nodes, used             uint16
-	elses, elseBad          int // outcomes in other regions of those who spoke of this zone, and those that were not good
+	elsewhere, elsewhereBad int // outcomes in other regions of those who spoke of this zone, and those that were not good
 }
 
-func (s *sight) others(o sight) { s.elses, s.elseBad = s.elses+o.all(), s.elseBad+o.late+o.bad }
+func (s *evidence) addElsewhere(o evidence) {
+	s.elsewhere, s.elsewhereBad = s.elsewhere+o.total(), s.elsewhereBad+o.late+o.bad
+}
 
-func (s *sight) add(o sight) {
+func (s *evidence) add(o evidence) {
 	s.good, s.late, s.bad, s.voices = s.good+o.good, s.late+o.late, s.bad+o.bad, s.voices+o.voices
 	s.homes, s.nodes, s.used = s.homes.with(o.homes), s.nodes|o.nodes, s.used|o.used
-	s.elses, s.elseBad = s.elses+o.elses, s.elseBad+o.elseBad
+	s.elsewhere, s.elsewhereBad = s.elsewhere+o.elsewhere, s.elsewhereBad+o.elsewhereBad
 }
 
 // beyond tells whether a share differs from another by more than chance would have it, as far as both are known.
-func (s *sight) beyond(o sight, late bool) bool {
-	m, n := float64(s.all()), float64(o.all())
+func (s *evidence) differsFrom(o evidence, late bool) bool {
+	m, n := float64(s.total()), float64(o.total())
 	if m == 0 || n == 0 {
 		return false
 	}
 	both := (s.share(late)*m + o.share(late)*n) / (m + n)
-	return s.share(late)-o.share(late) >= deviations*math.Sqrt(both*(1-both)*(1/m+1/n))
+	return s.share(late)-o.share(late) >= minDeviations*math.Sqrt(both*(1-both)*(1/m+1/n))
 }
 
-func (s *sight) all() int { return s.good + s.late + s.bad }
+func (s *evidence) total() int { return s.good + s.late + s.bad }
 
 // share is that of bad ones; of those that were late, too.
-func (s *sight) share(late bool) float64 {
-	if s.all() == 0 {
+func (s *evidence) share(late bool) float64 {
+	if s.total() == 0 {
 		return 0
 	}
 	if late {
-		return float64(s.bad+s.late) / float64(s.all())
+		return float64(s.bad+s.late) / float64(s.total())
 	}
-	return float64(s.bad) / float64(s.all())
+	return float64(s.bad) / float64(s.total())
 }
 
 // hears adds up what this router saw and what others have told it of theirs.
-func (b *Monitor) hears(z *zone, now float64) sight {
-	s := b.own(z, now)
-	for from, w := range z.words {
-		if now-w.at > fresh {
-			delete(z.words, from)
+func (m *Monitor) heardEvidence(z *zone, now float64) evidence {
+	s := m.ownEvidence(z, now)
+	for from, w := range z.reports {
+		if now-w.at > reportTTL {
+			delete(z.reports, from)
 			continue
 		}
-		s.add(w.sight)
+		s.add(w.evidence)
 	}
 	return s
 }
 
 // sees is the fullest sight that there is: gatherers' overlap, so they are not added up.
-func (b *Monitor) sees(z *zone, now float64) sight {
-	s := b.hears(z, now)
-	for _, from := range b.sumsOf(z, now) {
-		if w := z.sums[from]; w.all() > s.all() {
-			s = w.sight
+func (m *Monitor) bestEvidence(z *zone, now float64) evidence {
+	s := m.heardEvidence(z, now)
+	for _, from := range m.freshSums(z, now) {
+		if w := z.sums[from]; w.total() > s.total() {
+			s = w.evidence
 		}
 	}
 	return s
 }
 
 // sumsOf lists whose sums count, in order.
-func (b *Monitor) sumsOf(z *zone, now float64) (out []int) {
+func (m *Monitor) freshSums(z *zone, now float64) (out []int) {
 	for from, w := range z.sums {
-		if now-w.at > fresh {
+		if now-w.at > reportTTL {
 			delete(z.sums, from)
 		} else {
 			out = append(out, from)
@@ -492,16 +494,16 @@
 }
 
 // elsewhere is what other regions show, by what this router knows; a quiet one knows it of those who spoke of the zone.
-func (b *Monitor) elsewhere(z *zone, s sight, now float64) (all sight) {
-	for _, o := range b.order {
+func (m *Monitor) evidenceElsewhere(z *zone, s evidence, now float64) (all evidence) {
+	for _, o := range m.sortedZones {
 		if o.region != z.region {
-			all.add(b.sees(o, now))
+			all.add(m.bestEvidence(o, now))
 		}
 	}
 	// Those who spoke of other zones had trouble there, so what they say of them is on the dark side, as it is for this zone;
 	// what the others saw is not. The darker one counts: a zone is not left for what happens everywhere.
-	told := sight{good: s.elses - s.elseBad, bad: s.elseBad}
-	if all.all() == 0 || told.share(true) > all.share(true) || told.share(true) == all.share(true) && told.all() > all.all() {
+	told := evidence{good: s.elsewhere - s.elsewhereBad, bad: s.elsewhereBad}
+	if all.total() == 0 || told.share(true) > all.share(true) || told.share(true) == all.share(true) && told.total() > all.total() {
 		return told
 	}
 	return all
@@ -509,14 +511,14 @@
 
 // rest is the part of the other regions' nodes that is in use. They bear what a zone that is left had: the fewer there are
 // beside those that are out already, the less trouble they may have themselves.
-func (b *Monitor) rest(z *zone) float64 {
+func (m *Monitor) otherNodesInUse(z *zone) float64 {
 	used, all := 0.0, 0.0
-	for _, o := range b.order {
+	for _, o := range m.sortedZones {
 		if o.region == z.region {
 			continue
 		}
 		n := float64(len(o.nodes))
-		if all += n; o.out {
+		if all += n; o.isLeft {
 			n *= o.share
 		}
 		used += n
@@ -528,37 +530,37 @@
 }
 
 // ownElsewhere is what this router itself saw of other regions.
-func (b *Monitor) ownElsewhere(z *zone, now float64) (all sight) {
-	for _, o := range b.order {
+func (m *Monitor) ownEvidenceElsewhere(z *zone, now float64) (all evidence) {
+	for _, o := range m.sortedZones {
 		if o.region != z.region {
-			all.add(b.own(o, now))
+			all.add(m.ownEvidence(o, now))
 		}
 	}
 	return all
 }
 
 // ill tells whether a zone fails as such, or is late as such.
-func (b *Monitor) ill(z *zone, s, other sight, now float64) bool {
+func (m *Monitor) isFailing(z *zone, s, other evidence, now float64) bool {
 	switch {
-	case other.all() == 0: // no other to compare with
+	case other.total() == 0: // no other to compare with
 		return false
-	case !s.homes.several() && s.homes[0] != hash(b.terms.Zone): // it is the way there from another zone
+	case !s.homes.several() && s.homes[0] != hash(m.config.Zone): // it is the way there from another zone
 		return false
-	case bits.OnesCount16(s.nodes) < min(manyNodes, len(z.nodes)) || float64(bits.OnesCount16(s.nodes)) < nodeShare*float64(bits.OnesCount16(s.used)):
+	case bits.OnesCount16(s.nodes) < min(minBadNodes, len(z.nodes)) || float64(bits.OnesCount16(s.nodes)) < minBadNodeShare*float64(bits.OnesCount16(s.used)):
 		return false
 	}
-	own, rest := b.own(z, now), b.rest(z)
+	own, rest := m.ownEvidence(z, now), m.otherNodesInUse(z)
 	for _, late := range []bool{false, true} {
-		n, mine, least := s.bad, own.bad, badShare
+		n, mine, least := s.bad, own.bad, minBadShare
 		if late {
-			n, mine, least = n+s.late, mine+own.late, lateShare
+			n, mine, least = n+s.late, mine+own.late, minLateShare
 		}
 		// Late ones elsewhere are half a trouble to a zone that fails.
 		there, here := other.share(late)+other.share(true), s.share(late)+s.share(true)
-		if there > elseShare*rest*here || !s.beyond(other, late) { // the trouble is there too, or it may be chance
+		if there > maxElsewhereShare*rest*here || !s.differsFrom(other, late) { // the trouble is there too, or it may be chance
 			continue
 		}
-		if !late && mine >= ownBad && float64(mine) >= ownShare*float64(own.all()) || n >= leastBad && s.share(late) >= least && s.voices >= min(voices, b.terms.Routers) {
+		if !late && mine >= minOwnBad && float64(mine) >= minOwnBadShare*float64(own.total()) || n >= minBad && s.share(late) >= least && s.voices >= min(minVoices, m.config.Routers) {
 			return true
 		}
 	}
@@ -567,20 +569,20 @@
 
 // ranks gives our place in the order for a zone, in which routers return; and where there are many, its last ones: they add
 // up what all say of it.
-func (b *Monitor) ranks(key uint32) (place int, gather []int) {
+func (m *Monitor) rankRouters(key uint32) (place int, gather []int) {
 	rank := func(router int) uint64 {
 		var b [8]byte
 		binary.BigEndian.PutUint32(b[:], key)
 		binary.BigEndian.PutUint32(b[4:], uint32(router))
 		return xxhash.Sum64(b[:])
 	}
-	all := make([]int, b.terms.Routers)
+	all := make([]int, m.config.Routers)
 	for r := range all {
 		all[r] = r
 	}
 	slices.SortFunc(all, func(a, b int) int { return cmp.Compare(rank(a), rank(b)) })
-	if b.terms.Routers >= gatherFrom {
-		gather = all[len(all)-gatherers:]
+	if m.config.Routers >= gatherFromRouters {
+		gather = all[len(all)-gathererCount:]
 	}
-	return slices.Index(all, b.terms.Me), gather
+	return slices.Index(all, m.config.Me), gather
 }
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -18,34 +18,34 @@
 // fleet is many Monitors in virtual time. Each router reads at chance times from a node of a zone that it does not doubt, the
 // way a splitter would where all have room.
 type fleet struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     float64
-	zones   []string
-	regions map[string]string
-	books   []*Monitor
-	home    []string
-	doubted [][]float64 // by router and node
-	nodes   []string    // their zones
-	ill     []float64   // share of their answers that are bad
-	slow    []float64   // times its usual latency that each takes
-	asks    []int       // reads of each
-	late    float64     // s until a bad one is known
-	holder  int         // who numbers the steps; -1: nobody
-	dead    []bool      // by router
-	token   uint64
-	mute    map[int]bool    // holders whose words go nowhere
-	cut     map[string]bool // ways from routers of a zone to nodes and routers of another
-	silent  map[string]bool // only to routers
-	rate    float64         // reads a second of a router
-	queue   queue
-	count   int
-	asked   map[string]int
-	bytes   int
-	events  []Event
-	steps   int
-	word    string
-	speaks  int // numbers a holder's series of words
+	t        *testing.T
+	rng      *rand.Rand
+	now      float64
+	zones    []string
+	regions  map[string]string
+	monitors []*Monitor
+	home     []string
+	doubted  [][]float64 // by router and node
+	nodes    []string    // their zones
+	ill      []float64   // share of their answers that are bad
+	slow     []float64   // times its usual latency that each takes
+	asks     []int       // reads of each
+	late     float64     // s until a bad one is known
+	holder   int         // who numbers the steps; -1: nobody
+	dead     []bool      // by router
+	token    uint64
+	mute     map[int]bool    // holders whose words go nowhere
+	cut      map[string]bool // ways from routers of a zone to nodes and routers of another
+	silent   map[string]bool // only to routers
+	rate     float64         // reads a second of a router
+	queue    queue
+	count    int
+	asked    map[string]int
+	bytes    int
+	events   []Event
+	steps    int
+	word     string
+	speaks   int // numbers a holder's series of words
 }
 
 type due struct {
@@ -85,7 +85,7 @@
 		for k, z := range f.nodes {
 			b.Node(k, fmt.Sprint("n", k), z, k%3)
 		}
-		f.books = append(f.books, b)
+		f.monitors = append(f.monitors, b)
 		f.doubted = append(f.doubted, make([]float64, len(f.nodes)))
 		f.after(f.rng.Float64()/rate, func() { f.read(i) })
 		f.after(0.01, func() { f.tick(i) })
@@ -96,7 +96,7 @@
 func (f *fleet) clock(i int) float64 { return f.now + 1000*float64(i) } // each has its own
 
 func (f *fleet) act(i int) {
-	e := f.books[i].Effects()
+	e := f.monitors[i].Effects()
 	f.events = append(f.events, e.Events...)
 	f.steps += len(e.Events)
 	if e.Word != "" && i == f.holder {
@@ -107,11 +107,11 @@
 		f.doubted[i][d.Node] = d.Until
 	}
 	for _, s := range e.Sends {
-		for k := range f.books {
+		for k := range f.monitors {
 			if k != i && (s.To == All || s.To == k) && !f.dead[k] && !f.silent[f.home[i]+">"+f.home[k]] && !f.cut[f.home[i]+">"+f.home[k]] {
 				f.bytes += len(s.Bytes)
 				f.after(0.0005+0.005*f.rng.Float64(), func() {
-					f.books[k].Receive(i, s.Bytes, f.clock(k))
+					f.monitors[k].Receive(i, s.Bytes, f.clock(k))
 					f.act(k)
 				})
 			}
@@ -123,11 +123,11 @@
 func (f *fleet) speak(i int) {
 	f.speaks++
 	n, text := f.speaks, f.word
-	for k := range f.books {
+	for k := range f.monitors {
 		if k != i && !f.dead[k] && !f.mute[i] {
 			f.after(0.0005+0.005*f.rng.Float64(), func() {
 				if f.speaks == n { // a newer one is obeyed else
-					require.NoError(f.t, f.books[k].Obey(i, text, f.clock(k)))
+					require.NoError(f.t, f.monitors[k].Obey(i, text, f.clock(k)))
 					f.act(k)
 				}
 			})
@@ -143,12 +143,12 @@
 // hold has a router number the steps, or nobody.
 func (f *fleet) hold(i int) {
 	if was := f.holder; was >= 0 {
-		f.books[was].SetHolder(false, 0, f.clock(was))
+		f.monitors[was].SetHolder(false, 0, f.clock(was))
 	}
 	f.speaks++
 	if f.holder = i; i >= 0 {
 		f.token++
-		f.books[i].SetHolder(true, f.token, f.clock(i))
+		f.monitors[i].SetHolder(true, f.token, f.clock(i))
 		f.act(i)
 	}
 }
@@ -157,8 +157,8 @@
 	if f.dead[i] {
 		return
 	}
-	if f.books[i].Next() <= f.clock(i) {
-		f.books[i].Step(f.clock(i))
+	if f.monitors[i].Next() <= f.clock(i) {
+		f.monitors[i].Step(f.clock(i))
 		f.act(i)
 	}
 	f.after(0.01, func() { f.tick(i) })
@@ -192,7 +192,7 @@
 		if f.dead[i] {
 			return
 		}
-		f.books[i].RecordOutcome(n, 0, !bad, wait, f.clock(i))
+		f.monitors[i].RecordOutcome(n, 0, !bad, wait, f.clock(i))
 		f.act(i)
 	})
 }
@@ -220,7 +220,7 @@
 
 // using counts the routers, of a home or all (""), that use a zone.
 func (f *fleet) using(zone, home string) (n int) {
-	for i, b := range f.books {
+	for i, b := range f.monitors {
 		if f.dead[i] || home != "" && f.home[i] != home {
 			continue
 		}
@@ -263,7 +263,7 @@
 			case "order": // WHAT ZONE, asked of a router; "not" where it has to be refused
 				what := map[string]Override{"auto": Auto, "leave": Leave, "hold": Hold}[w[1]]
 				i := int(num(3))
-				err := f.books[i].Order(w[2], what, f.clock(i))
+				err := f.monitors[i].Order(w[2], what, f.clock(i))
 				if len(w) > 4 {
 					require.Error(t, err, where)
 				} else {
@@ -303,9 +303,9 @@
 				f.run(num(1))
 			case "drop": // a zone's nodes are no more in the list
 				for k, z := range f.nodes {
-					for i := range f.books {
+					for i := range f.monitors {
 						if z == w[1] {
-							f.books[i].Forget(k)
+							f.monitors[i].Forget(k)
 							f.doubted[i][k] = math.Inf(1)
 						}
 					}
@@ -313,10 +313,10 @@
 			case "start": // a router starts anew
 				i := int(num(1))
 				f.dead[i] = false
-				f.books[i] = New(Config{Me: i, Routers: len(f.books), Zone: f.home[i], Life: 99, Every: 0.4, Regions: f.regions})
+				f.monitors[i] = New(Config{Me: i, Routers: len(f.monitors), Zone: f.home[i], Life: 99, Every: 0.4, Regions: f.regions})
 				f.doubted[i] = make([]float64, len(f.nodes))
 				for k, z := range f.nodes {
-					f.books[i].Node(k, fmt.Sprint("n", k), z, k%3)
+					f.monitors[i].Node(k, fmt.Sprint("n", k), z, k%3)
 				}
 			case "expect": // using ZONE MOST [HOME], uses ZONE LEAST [HOME], asked ZONE MOST, steps MOST
 				home := ""
@@ -331,7 +331,7 @@
 				case "asked":
 					require.LessOrEqual(t, f.asked[w[2]], int(num(3)), where)
 				case "hand": // ZONE WHAT: so all know it
-					for i, b := range f.books {
+					for i, b := range f.monitors {
 						for _, s := range b.States(f.clock(i)) {
 							if s.Zone == w[2] && !f.dead[i] {
 								require.Equal(t, w[3], s.Hand, "%s, router %d", where, i)
@@ -339,10 +339,10 @@
 						}
 					}
 				case "same": // ZONE: all have the same share of it
-					for i, b := range f.books {
+					for i, b := range f.monitors {
 						for k, s := range b.States(f.clock(i)) {
 							if s.Zone == w[2] && !f.dead[i] {
-								require.Equal(t, f.books[f.holder].States(f.clock(f.holder))[k].Share, s.Share, "%s, router %d", where, i)
+								require.Equal(t, f.monitors[f.holder].States(f.clock(f.holder))[k].Share, s.Share, "%s, router %d", where, i)
 							}
 						}
 					}
@@ -416,15 +416,15 @@
 	}
 	require.False(t, b.Receive(2, good, 50), "from another's address")
 	require.True(t, b.Receive(1, good, 50))
-	require.Equal(t, 9, b.sees(b.zones[hash("b")], 50).bad)
+	require.Equal(t, 9, b.bestEvidence(b.zones[hash("b")], 50).bad)
 	require.True(t, b.Receive(1, word(5, 1100, 4), 53.1), "three seconds on its way")
 	require.Equal(t, int64(1), b.Counts().Old)
-	require.Zero(t, b.sees(b.zones[hash("b")], 53.1).bad)
+	require.Zero(t, b.bestEvidence(b.zones[hash("b")], 53.1).bad)
 	require.True(t, b.Receive(1, word(5, 4100, 7), 53.1))
 	require.True(t, b.Receive(1, word(5, 4050, 1), 53.1), "overtaken")
-	require.Equal(t, 7, b.sees(b.zones[hash("b")], 53.1).bad)
+	require.Equal(t, 7, b.bestEvidence(b.zones[hash("b")], 53.1).bad)
 	require.True(t, b.Receive(1, word(6, 1, 3), 53.2), "it has started anew, its clock too")
-	require.Equal(t, 3, b.sees(b.zones[hash("b")], 53.2).bad)
+	require.Equal(t, 3, b.bestEvidence(b.zones[hash("b")], 53.2).bad)
 	b.Forget(1)
 	b.Forget(2)
 	require.True(t, b.Receive(1, word(6, 50, 3), 53.25), "of a zone without nodes")
@@ -504,9 +504,9 @@
 
 // TestHolderWord: a word that is full fits a datagram of package lease, and what is none is an error that changes nothing.
 func TestHolderWord(t *testing.T) {
-	var all []said
-	for range mostSaid {
-		all = append(all, said{math.MaxUint32, 0.0667, Hold, 1_900_000_000_000<<12 + 4095})
+	var all []wordEntry
+	for range maxWordEntries {
+		all = append(all, wordEntry{math.MaxUint32, 0.0667, Hold, 1_900_000_000_000<<12 + 4095})
 	}
 	text := formatWord(all)
 	require.LessOrEqual(t, len(text), 170)
@@ -521,13 +521,13 @@
 		require.Error(t, b.Obey(1, wrong, 10), wrong)
 	}
 	require.Equal(t, 1.0, b.zones[hash("b")].share)
-	require.Equal(t, -1, b.leader)
+	require.Equal(t, -1, b.holder)
 	require.NoError(t, b.Obey(1, key+":0:1:7", 10))
-	require.Equal(t, Leave, b.zones[hash("b")].hand)
-	require.Equal(t, []Doubt{{1, 10 + doubtFor}}, b.Effects().Doubts)
+	require.Equal(t, Leave, b.zones[hash("b")].override)
+	require.Equal(t, []Doubt{{1, 10 + doubtTime}}, b.Effects().Doubts)
 	require.NoError(t, b.Obey(2, key+":1:0:6", 10.1), "an older order")
 	e := b.Effects()
-	require.Equal(t, Leave, b.zones[hash("b")].hand)
+	require.Equal(t, Leave, b.zones[hash("b")].override)
 	require.Len(t, e.Sends, 1, "its holder is told of the newer one")
 	require.Equal(t, 2, e.Sends[0].To)
 }
@@ -535,24 +535,24 @@
 // TestOrdersHaveRoom: there may be as many orders at a time as a word has room for; more zones than that may have had one.
 func TestOrdersHaveRoom(t *testing.T) {
 	b := New(Config{Me: 0, Routers: 3, Zone: "z0", Life: 1, Every: 0.4})
-	for k := range 2 * mostSaid {
+	for k := range 2 * maxWordEntries {
 		b.Node(k, fmt.Sprint("n", k), fmt.Sprint("z", k), 0)
 	}
 	b.SetHolder(true, 9, 10)
-	for k := range mostSaid {
+	for k := range maxWordEntries {
 		require.NoError(t, b.Order(fmt.Sprint("z", k), Hold, 10))
 	}
-	require.ErrorContains(t, b.Order(fmt.Sprint("z", mostSaid), Leave, 10), "no more")
-	for k := range mostSaid {
+	require.ErrorContains(t, b.Order(fmt.Sprint("z", maxWordEntries), Leave, 10), "no more")
+	for k := range maxWordEntries {
 		require.NoError(t, b.Order(fmt.Sprint("z", k), Auto, 11))
 	}
-	require.NoError(t, b.Order(fmt.Sprint("z", mostSaid), Leave, 11))
+	require.NoError(t, b.Order(fmt.Sprint("z", maxWordEntries), Leave, 11))
 	text := b.Effects().Word
-	require.Contains(t, text, fmt.Sprintf("%x:0:1:", hash(fmt.Sprint("z", mostSaid))), "what stands comes first")
+	require.Contains(t, text, fmt.Sprintf("%x:0:1:", hash(fmt.Sprint("z", maxWordEntries))), "what stands comes first")
 	other := New(Config{Me: 1, Routers: 3, Zone: "z0", Life: 2, Every: 0.4})
-	for k := range 2 * mostSaid {
+	for k := range 2 * maxWordEntries {
 		other.Node(k, fmt.Sprint("n", k), fmt.Sprint("z", k), 0)
-		other.zones[hash(fmt.Sprint("z", k))].number = 1 // it has heard orders that are over
+		other.zones[hash(fmt.Sprint("z", k))].orderNumber = 1 // it has heard orders that are over
 	}
 	require.NoError(t, other.Obey(0, text, 11))
 	require.Empty(t, other.Effects().Sends, "what a full word leaves out is not told to its holder")
