--- a/zone/hand.go
+++ b/zone/orders.go
@@ -1,7 +1,7 @@
 package zone
 
-// This file owns what one router says for all: the holder's word with the steps and operators' orders. It must never put an
-// older order in the place of a newer one, whoever holds.
+// This file contains what one router decides for all: the holder's word with the steps and operators' orders. An older order
+// must never replace a newer one, whoever the holder is.
 
 import (
 	"errors"
@@ -9,16 +9,16 @@
 	"slices"
 )
 
-// wanted is an order that this router was asked for and that no word has shown yet.
+// pendingOrder is an order that this router was asked for and that no word has confirmed yet.
 type pendingOrder struct {
 	zone  *zone
 	what  Override
-	base  uint64 // the order that it follows
+	base  uint64 // number of the order that it replaces
 	next  float64
 	until float64
 }
 
-// SetHolder says whether this router numbers the steps from now on, under a token that rises with every holder.
+// SetHolder says whether this router is the holder, which numbers the steps, from now on. The token rises with every holder.
 func (m *Monitor) SetHolder(on bool, token uint64, now float64) {
 	m.isHolder, m.token, m.ordersNumbered = on, token, 0
 	if on {
@@ -27,24 +27,25 @@
 	}
 }
 
-// say has the holder's word told: all zones that are out for several zones' routers, or that orders stand for.
+// publishWord makes the holder's new word: all zones that routers of several zones have left, and those with orders.
 func (m *Monitor) publishWord() {
-	var all []wordEntry
+	var entries []wordEntry
 	for _, z := range m.sortedZones {
 		if z.orderNumber > 0 || z.isLeft && z.forHolder {
 			share := 1.0
 			if z.isLeft {
 				share = z.share
 			}
-			all = append(all, wordEntry{z.key, share, z.override, z.orderNumber})
+			entries = append(entries, wordEntry{z.key, share, z.override, z.orderNumber})
 		}
 	}
-	// Orders first: they are nowhere else. A zone that finds no room is left by each for itself.
-	slices.SortStableFunc(all, func(a, b wordEntry) int { return entryRank(a) - entryRank(b) })
-	m.effects.Word = formatWord(all[:min(maxWordEntries, len(all))])
+	// Orders come first, as they are stored nowhere else. For a zone without room in the word, each router decides for itself.
+	slices.SortStableFunc(entries, func(a, b wordEntry) int { return entryRank(a) - entryRank(b) })
+	m.effects.Word = formatWord(entries[:min(maxWordEntries, len(entries))])
 	m.counts.Words++
 }
 
+// entryRank orders the entries of a word: orders that stand, zones that are left, and then orders that are over.
 func entryRank(s wordEntry) int {
 	switch {
 	case s.hand != Auto:
@@ -55,26 +56,26 @@
 	return 2
 }
 
-// Obey takes a word of a holder that is to be obeyed.
+// Obey applies a word of the holder. A malformed word is an error and changes nothing.
 func (m *Monitor) Obey(from int, text string, now float64) error {
-	all, err := parseWord(text)
+	entries, err := parseWord(text)
 	if err != nil || from == m.config.Me {
 		return err
 	}
 	m.holder, m.wordAt = from, now
-	for _, x := range all {
+	for _, x := range entries {
 		m.zone(x.key, "")
 	}
 	for _, z := range m.sortedZones {
 		x := wordEntry{key: z.key, share: 1}
-		if i := slices.IndexFunc(all, func(s wordEntry) bool { return s.key == z.key }); i >= 0 {
-			x = all[i]
+		if i := slices.IndexFunc(entries, func(s wordEntry) bool { return s.key == z.key }); i >= 0 {
+			x = entries[i]
 		}
 		switch {
 		case x.number > z.orderNumber:
 			m.recordOrder(z, x.hand, x.number)
-		case x.number < z.orderNumber: // it does not know of our order
-			if len(all) < maxWordEntries || z.override != Auto { // a full word leaves out what is over
+		case x.number < z.orderNumber: // the holder does not know of this order
+			if len(entries) < maxWordEntries || z.override != Auto { // a full word leaves out orders that are over
 				w := orderRequest{Number: z.orderNumber, What: uint8(z.override)}
 				m.send(from, kindOrder, &w.head, &w, z, now)
 			}
@@ -85,10 +86,10 @@
 	return nil
 }
 
-// follow has a zone's share as the word says. Own evidence may be ahead of it by a little; and what only our own sums say,
-// as where the way there from our zone is cut, stays ours.
+// applyEntry sets a zone's share to that of the word. This router's own evidence may be a little ahead of the word. A zone that
+// was left only by its own decision, as where the network from its own zone to that one is cut, stays its own matter.
 func (m *Monitor) applyEntry(z *zone, x wordEntry, now float64) {
-	z.forHolder = z.forHolder || x.share < 1 // so the holder saw it: if we number the steps next, they go on from there
+	z.forHolder = z.forHolder || x.share < 1 // if this router is the next holder, it goes on with the steps from here
 	switch {
 	case x.share >= 1 && (!z.isLeft || z.decidedLocally && z.override == Auto):
 		return
@@ -121,33 +122,33 @@
 	m.updateDoubts(z, now)
 }
 
-// takes notes an order and its number.
+// recordOrder stores an order and its number.
 func (m *Monitor) recordOrder(z *zone, what Override, number uint64) {
 	z.override, z.orderNumber = what, number
 	m.emit(z, Event{Kind: Ordered})
 }
 
-// rule carries an order out, at the holder.
+// executeOrder carries out an order at the holder.
 func (m *Monitor) executeOrder(z *zone, what Override, number uint64, now float64) {
 	m.recordOrder(z, what, number)
 	switch {
 	case what == Leave:
 		z.isLeft, z.share, z.stepAt, z.forHolder, z.decidedLocally = true, 0, now, true, true
-	case what == Auto && z.isLeft: // the first ones return with the next look
+	case what == Auto && z.isLeft: // the first routers return at the next evaluation
 		z.stepAt, z.flaps, z.fastShare = now-minLeftTime, 0, 1
 	}
 	m.updateDoubts(z, now)
 	m.publishWord()
 }
 
-// number is one that is above that of any earlier holder.
+// nextOrderNumber returns a number above those of all earlier orders and holders.
 func (m *Monitor) nextOrderNumber() uint64 {
 	m.ordersNumbered++
 	return m.token<<12 + m.ordersNumbered
 }
 
-// Order asks for something by hand, for all. It takes effect once a holder's word has shown it (States); after some seconds
-// without that, as where nobody comes to number the steps, it is given up.
+// Order gives an operator's order for all routers. It takes effect once a word of the holder contains it (see States), and is
+// given up after some seconds without that, as where no router becomes the holder.
 func (m *Monitor) Order(name string, what Override, now float64) error {
 	z := m.zones[hash(name)]
 	switch {
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// ordersStand counts the zones that are left or held by hand.
+// countOverrides counts the zones that operators have ordered to be left or held.
 func (m *Monitor) countOverrides() (n int) {
 	for _, z := range m.sortedZones {
 		if z.override != Auto {
@@ -179,7 +180,7 @@
 	return n
 }
 
-// urge sends the orders that no word has shown yet.
+// sendPendingOrders sends the orders that no word has confirmed yet, and drops those that are confirmed or too old.
 func (m *Monitor) sendPendingOrders(now float64) {
 	m.pending = slices.DeleteFunc(m.pending, func(w *pendingOrder) bool {
 		return now >= w.until || w.zone.orderNumber > w.base && w.zone.override == w.what
@@ -191,7 +192,7 @@
 		w.next, w.base = now+orderRetryInterval, w.zone.orderNumber
 		if m.isHolder {
 			m.executeOrder(w.zone, w.what, m.nextOrderNumber(), now)
-		} else if m.holder >= 0 { // else it waits for the first to be heard
+		} else if m.holder >= 0 { // without a holder, the order waits for the first word
 			m.counts.Wishes++
 			x := orderRequest{Number: w.base, What: uint8(w.what)}
 			m.send(m.holder, kindOrder, &x.head, &x, w.zone, now)
@@ -199,7 +200,7 @@
 	}
 }
 
-// asked takes an order from a peer, where we hold.
+// receiveOrder carries out an order from a peer if this router is the holder.
 func (m *Monitor) receiveOrder(w *orderRequest, now float64) {
 	z := m.zones[w.Zone]
 	if !m.isHolder || w.What > uint8(Hold) {
@@ -207,14 +208,14 @@
 	}
 	switch what := Override(w.What); {
 	case z == nil:
-	case w.Number > z.orderNumber: // an earlier holder's order that we had not heard of
+	case w.Number > z.orderNumber: // an order of an earlier holder, unknown here so far
 		m.executeOrder(z, what, w.Number, now)
 	case w.Number == z.orderNumber && (what != z.override || what == Auto && z.isLeft):
 		m.executeOrder(z, what, m.nextOrderNumber(), now)
 	}
 }
 
-// States tells the zones.
+// States returns the state of every zone.
 func (m *Monitor) States(now float64) (out []State) {
 	holder := -1
 	if m.isHolder || m.followsHolder(now) {
@@ -228,7 +229,8 @@
 	return out
 }
 
-// EstimateLeave tells what is known of the others before a zone is left by hand; false: there is no such zone.
+// EstimateLeave compares the load of a zone with what the others were seen to bear, for an operator who is about to order that it
+// be left. It returns false if there is no such zone.
 func (m *Monitor) EstimateLeave(name string, now float64) (out LeaveEstimate, ok bool) {
 	left := m.zones[hash(name)]
 	if left == nil || left.name != name {
--- a/zone/steps.go
+++ b/zone/steps.go
@@ -1,17 +1,17 @@
 package zone
 
-// This file owns the steps: when a zone is left, what share of the routers uses it again, and whose word on that counts. It
-// must never leave a zone for what happens everywhere, nor for one node, nor move one that operators hold.
+// This file contains the steps: when a zone is left, what share of the routers uses it again, and whose decision counts. A
+// zone must never be left for trouble that is everywhere or for a single node, nor changed while operators hold it.
 
 import "math"
 
-// follows tells whether a holder's word paces the steps: one that was heard of late.
+// followsHolder tells whether a holder's word sets the pace of the steps, which needs a recent one.
 func (m *Monitor) followsHolder(now float64) bool {
 	return !m.isHolder && now-m.wordAt < max(wordTTL, m.config.Every*maxMissedWords)
 }
 
-// weigh looks whether a zone's step is due. Whoever sees that a zone fails leaves it at once. How it returns is the holder's
-// to say where its word had it left, or else by our own sums.
+// evaluate takes the next step of a zone if one is due. A router that sees a zone fail leaves it at once. The return is paced
+// by the holder if its word had the zone left, and else by this router's own sums.
 func (m *Monitor) evaluate(z *zone, now float64) {
 	if z.override != Auto {
 		return
@@ -45,7 +45,7 @@
 		}
 		z.decidedLocally = true
 		m.counts.Leaves++
-	case m.followsHolder(now) && !z.decidedLocally: // the rest is the holder's to say
+	case m.followsHolder(now) && !z.decidedLocally: // the holder decides on everything else
 		return
 	case z.share > 0 && s.late+s.bad >= minFailedReturnBad && s.share(true) >= lateReturnShare && troubled(true):
 		if now-z.stepAt < stepInterval {
@@ -73,12 +73,12 @@
 	m.takeStep(z, kind, share, s, other, now)
 }
 
-// first is the share that returns first.
+// firstReturnShare is the share of the routers that return first.
 func (m *Monitor) firstReturnShare() float64 {
 	return min(1, max(minFirstShare, minFirstRouters/float64(m.config.Routers)))
 }
 
-// step takes one.
+// takeStep changes the share of a zone and records why.
 func (m *Monitor) takeStep(z *zone, kind Kind, share float64, s, other evidence, now float64) {
 	z.isLeft, z.share, z.stepAt = kind != Back, math.Round(share*shareSteps)/shareSteps, now
 	if kind == Left {
@@ -97,23 +97,25 @@
 	}
 }
 
+// emit adds an event with the present share and order of the zone.
 func (m *Monitor) emit(z *zone, e Event) {
 	e.Zone, e.Share, e.Hand = z.name, z.share, z.override
 	m.effects.Events = append(m.effects.Events, e)
 }
 
-// uses tells whether this router is among those that use a zone: the order is the same at all, and another for each zone.
+// usesZone tells whether this router is among those that use a zone. The order in which routers return is the same at all
+// routers, and differs from zone to zone.
 func (m *Monitor) usesZone(z *zone) bool {
 	return !z.isLeft || float64(z.returnRank) < z.share*float64(m.config.Routers)
 }
 
-// doubt has the splitter prefer other zones, or ends that.
+// updateDoubts has the splitter prefer other zones while this router does not use this one, and ends that once it does.
 func (m *Monitor) updateDoubts(z *zone, now float64) {
 	z.renewAt = now + renewInterval
 	until, was := now, z.isDoubted
 	if z.isDoubted = !m.usesZone(z); z.isDoubted {
 		until = now + doubtTime
-	} else if !was { // it has ended already
+	} else if !was { // the doubts have ended already
 		return
 	}
 	for _, n := range z.nodes {
@@ -121,10 +123,10 @@
 	}
 }
 
-// looksOn tells whether a zone is looked at: it is out, or was returned to just now.
+// isWatched tells whether Step has to handle a zone: it is left or returning, or all routers returned to it just now.
 func (z *zone) isWatched() bool { return z.isLeft || z.renewAt < z.stepAt+probeAfterReturn }
 
-// Next is when Step is due.
+// Next returns the time at which Step is due.
 func (m *Monitor) Next() float64 {
 	next := math.Inf(1)
 	for _, z := range m.sortedZones {
@@ -138,7 +140,7 @@
 	return next
 }
 
-// Step does what is due.
+// Step does all that is due: it sends pending orders, and renews doubts, probes and counts of zones that are left.
 func (m *Monitor) Step(now float64) {
 	m.sendPendingOrders(now)
 	for _, z := range m.sortedZones {
@@ -159,9 +161,10 @@
 	}
 }
 
-// look has routers that return probe nodes that they have not used of late, each its even part of what nodes bear. Whether a
-// replica may be read from is known from its answers, and one that nobody uses gives none: it would hardly be used again,
-// whatever its zone's share. One that has its even part of this router's submissions needs no looks: they would draw more.
+// requestProbes has routers that return probe the nodes that they haven't used of late, each router with its even part of the
+// probes that a node bears. Whether a replica is fresh enough to be read from is known only from its answers, so one that
+// nobody uses would hardly be used again, whatever its zone's share. A zone that gets its even part of this router's
+// submissions needs no probes: they would attract more than that.
 func (m *Monitor) requestProbes(z *zone, now float64) {
 	mine, all, nodes := m.ownEvidence(z, now), evidence{}, 0
 	for _, o := range m.sortedZones {
@@ -186,7 +189,7 @@
 	}
 }
 
-// bears notes how much a zone was seen to give here while all was well with it.
+// updatePeak updates the highest rate of good answers of a zone at this router while under a tenth were late or bad.
 func (z *zone) updatePeak(now float64) {
 	if now-z.peakAt < window/windowParts {
 		return
--- a/zone/wire.go
+++ b/zone/wire.go
@@ -1,6 +1,6 @@
 package zone
 
-// This file owns the form of datagrams and of the holder's word.
+// This file contains the format of datagrams and of the holder's word.
 
 import (
 	"encoding/binary"
@@ -12,25 +12,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// First is the first byte of a datagram of ours; package peerstate's are below 0x20, package lease's below 0x30.
+// First is the lowest first byte of this package's datagrams; those of package peerstate are below 0x20, of package lease below 0x30.
 const First = 0x30
 
 const (
 	kindCounts = First + iota // what one router saw of a zone
-	kindSum                   // what a gatherer has heard of it
+	kindSum                   // what a gatherer has heard of a zone
 	kindOrder                 // an order for the holder
 )
 
 const maxDatagramBytes = 64
 
-var errMalformed = errors.New("no datagram of ours")
+var errMalformed = errors.New("malformed zone datagram or holder word")
 
-// head begins each datagram.
+// head is the header of each datagram.
 type head struct {
 	From uint16
 	Life uint32
-	At   uint32 // ms, of the sender's clock
-	Zone uint32 // a hash of its name
+	At   uint32 // ms on the sender's clock; wraps around
+	Zone uint32 // hash of the name of the zone
 }
 
 // counts is what one router saw of a zone in a window.
@@ -38,9 +38,9 @@
 	head
 	Home            uint32 // hash of the sender's own zone
 	Good, Late, Bad uint16
-	Nodes           uint16 // that had late or bad ones, a bit each
-	Used            uint16 // that had any
-	Else, ElseBad   uint16 // outcomes in other regions, and those of them that were late or bad
+	Nodes           uint16 // set of nodes with late or bad outcomes, one bit each
+	Used            uint16 // set of nodes with any outcomes
+	Else, ElseBad   uint16 // outcomes in other regions, and how many of them were late or bad
 }
 
 // sum is what a gatherer has heard in a window.
@@ -48,19 +48,20 @@
 	head
 	Good, Late, Bad uint32
 	Voices          uint16
-	Homes           homes // of the voices
+	Homes           homes // zones of the routers that reported trouble
 	Nodes, Used     uint16
 	Else, ElseBad   uint32
 }
 
-// wish asks the holder for an order. One that has its number is told to a holder that does not know of it; a new one bears
-// the number of the order that it follows, so that it counts once, however often it comes.
+// orderRequest asks the holder to carry out an order. An order that has its own number is sent to a holder that does not know
+// of it. A new one has the number of the order that it replaces, so that it counts once, however often it arrives.
 type orderRequest struct {
 	head
 	Number uint64
 	What   uint8
 }
 
+// format encodes a datagram: its kind, a checksum and the fields of x.
 func format(kind byte, x any) []byte {
 	b := make([]byte, 5, maxDatagramBytes)
 	b[0] = kind
@@ -69,12 +70,13 @@
 	return b
 }
 
+// check is the checksum of the kind and the body of a datagram.
 func check(b []byte) uint32 {
 	h := xxhash.Sum64(b[5:]) ^ uint64(b[0])*0x9e3779b97f4a7c15
 	return uint32(h ^ h>>32)
 }
 
-// parse gives a *counts, *sum or *wish.
+// parse decodes a datagram into a *counts, *sum or *orderRequest.
 func parse(b []byte) (any, *head, error) {
 	if len(b) < 5 || binary.BigEndian.Uint32(b[1:]) != check(b) {
 		return nil, nil, errMalformed
@@ -102,7 +104,7 @@
 
 func hash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// said is an entry of the holder's word: a zone that is out, or that operators have ordered something for.
+// wordEntry is an entry of the holder's word: a zone that is left or returning, or that has had an order.
 type wordEntry struct {
 	key    uint32
 	share  float64
@@ -110,10 +112,10 @@
 	number uint64
 }
 
-// formatWord writes a word: KEY:SHARE:HAND:NUMBER, by commas; "-" where there is nothing to say.
-func formatWord(all []wordEntry) string {
+// formatWord encodes a word: entries KEY:SHARE:HAND:NUMBER, separated by commas, or "-" if there are none.
+func formatWord(entries []wordEntry) string {
 	var parts []string
-	for _, s := range all {
+	for _, s := range entries {
 		parts = append(parts, fmt.Sprintf("%x:%s:%d:%x", s.key, strconv.FormatFloat(s.share, 'g', 4, 64), s.hand, s.number))
 	}
 	if len(parts) == 0 {
--- a/zone/zone.go
+++ b/zone/zone.go
@@ -1,7 +1,7 @@
 package zone
 
-// This file owns the evidence: what this router saw, and what others have told of theirs. It must never take what was long on
-// its way for what is now.
+// This file contains the evidence: what this router saw, and what peers have reported. A report that was delayed on its way
+// must never count as recent.
 
 import (
 	"cmp"
@@ -15,7 +15,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Monitor is one router's part. Nodes are emptied by Forget; zones grow with the names ever listed, words with zones and peers.
+// Monitor holds one router's view of all zones. Forget removes a node. Zones are never removed, so they grow with the names ever
+// listed, and reports grow with zones and peers.
 type Monitor struct {
 	config         Config
 	nodes          []*node
@@ -24,22 +25,22 @@
 	offsets        []offset // by peer
 	effects        Effects
 	counts         Counts
-	isHolder       bool   // this router numbers the steps
-	token          uint64 // of that
-	ordersNumbered uint64 // orders numbered under it
-	holder         int    // whose word was obeyed last; -1: nobody's
-	wordAt         float64
+	isHolder       bool    // this router numbers the steps
+	token          uint64  // of this router as the holder
+	ordersNumbered uint64  // orders numbered under the token
+	holder         int     // router whose word was obeyed last; -1: none
+	wordAt         float64 // when that word arrived
 	pending        []*pendingOrder
 }
 
 type node struct {
 	id, group int
-	bit       uint16 // that stands for it in what is told: of two nodes in sixteen one is not told from the other
+	bit       uint16 // stands for the node in datagrams; one of 16 by hash, so that two nodes may share a bit
 	zone      *zone
 	seen      tally
 }
 
-// outcome of a submission.
+// outcome is the outcome of a submission.
 type outcome int
 
 const (
@@ -49,12 +50,13 @@
 	outcomes
 )
 
-// tally is outcomes of the last window, by parts of it.
+// tally counts the outcomes of the last window, by parts of the window.
 type tally struct {
-	part int64 // number of the newest
+	part int64 // number of the newest part
 	n    [outcomes][windowParts]uint16
 }
 
+// roll drops the parts that have left the window.
 func (t *tally) roll(now float64) {
 	part := int64(now / (window / windowParts))
 	if part-t.part >= windowParts {
@@ -82,14 +84,14 @@
 	return out
 }
 
-// usual is how long an answer of a zone takes, by txn type.
+// usual is the usual latency of a zone for one txn type.
 type usual struct {
 	n    int
 	mean float64
 	at   float64 // when the last of the first answers came
 }
 
-// learn takes a latency, and tells whether it is late.
+// learn adds a latency, and tells whether the answer was late.
 func (u *usual) learn(latency, now float64) bool {
 	if u.n < learnCount {
 		u.at = now
@@ -108,9 +110,9 @@
 	return over
 }
 
-// borrow has a zone that is out begin with what is usual elsewhere, the longest of it, where this router knows nothing of its
-// own: else it would learn from the answers of a zone that is slow, and call them good. It may harm where a zone is far: who
-// has never used it then learns that from some hundred late answers.
+// borrowUsual has a zone that was left start with the longest usual latency of the other regions if this router hasn't learned
+// that of the zone itself: else it would learn from the answers of a slow zone, and call them good. The cost is with a zone
+// that is far away: a router that has never used it takes some hundred late answers to learn that.
 func (m *Monitor) borrowUsual(z *zone, typ int) {
 	u := &z.usual[typ]
 	if u.n >= learnCount {
@@ -127,7 +129,7 @@
 	}
 }
 
-// unlearn forgets what was learned as usual from the outcomes for which a zone is left.
+// unlearn forgets usual latencies that were learned from the very outcomes for which the zone was left.
 func (z *zone) unlearn(now float64) {
 	for i := range z.usual {
 		if u := &z.usual[i]; u.at > 0 && now-u.at <= window {
@@ -136,13 +138,14 @@
 	}
 }
 
-// offset is between a peer's clock and ours, with the quickest way seen.
+// offset is the difference between the clocks of this router and a peer, as the quickest datagram seen so far shows it.
 type offset struct {
 	life uint32
 	ms   float64
 	has  bool
 }
 
+// report is what a peer sent about a zone.
 type report struct {
 	at   float64
 	life uint32
@@ -150,34 +153,35 @@
 	evidence
 }
 
+// zone is what this router knows of a zone.
 type zone struct {
 	name             string
 	key              uint32
 	region           string
 	nodes            []*node
 	usual            []usual        // by txn type
-	reports          map[int]report // of peers, the newest of each
-	sums             map[int]report // of gatherers
+	reports          map[int]report // newest counts of each peer
+	sums             map[int]report // newest sum of each gatherer
 	countsSentAt     float64
 	sumSentAt        float64
-	lastCountsMatter bool    // our last counts had bad ones, or it is returning: a good word is news
+	lastCountsMatter bool    // the last counts sent had late or bad outcomes, or the zone was left: peers need to hear of good ones, too
 	isLeft           bool    // left, or returning
-	decidedLocally   bool    // by our own sums, not by the holder's word
-	forHolder        bool    // routers of several zones have trouble with it: it is for the holder's word
-	share            float64 // of routers that use it while out
+	decidedLocally   bool    // by this router's own evidence, not by the holder's word
+	forHolder        bool    // routers of several zones have trouble with it, so that the holder's word includes it
+	share            float64 // share of the routers that use the zone while it is left or returning
 	fastShare        float64 // share up to which it returns quickly
-	returnRank       int     // ours in the order in which they return
-	gatherers        []int   // who adds up what all say of it
-	stepAt           float64 // of the last step
-	flaps            int
-	leftAt           float64 // when it was last left
-	renewAt          float64
-	isDoubted        bool    // its nodes were, when last looked at
-	lastProbed       int     // the node that was looked at last, by its place among them
-	probeCredit      float64 // that may be made now
+	returnRank       int     // rank of this router in the order in which routers return
+	gatherers        []int   // routers that add up the counts of all
+	stepAt           float64 // time of the last step
+	flaps            int     // recent failed returns
+	leftAt           float64 // when it was last left, or a return failed
+	renewAt          float64 // when doubts and probes are due again
+	isDoubted        bool    // whether its nodes were doubted at the last update
+	lastProbed       int     // index of the node that was probed last
+	probeCredit      float64 // probes that may be made now
 	override         Override
-	orderNumber      uint64  // of that order; 0: there was none
-	peakRate         float64 // answers a second that it was seen to bear, here
+	orderNumber      uint64  // number of the newest order; 0: there was none
+	peakRate         float64 // highest good answers per second at this router, decaying
 	peakAt           float64
 }
 
@@ -186,17 +190,17 @@
 	return &Monitor{config: c, zones: map[uint32]*zone{}, offsets: make([]offset, c.Routers), holder: -1, wordAt: math.Inf(-1)}
 }
 
-// Effects hands over what is to be done, once.
+// Effects returns what the host has to do since the last call.
 func (m *Monitor) Effects() Effects {
 	out := m.effects
 	m.effects = Effects{}
 	return out
 }
 
-// Counts tells the counts.
+// Counts returns the counters.
 func (m *Monitor) Counts() Counts { return m.counts }
 
-// zone finds one by its key; a word may name one whose nodes are not listed here yet.
+// zone finds or adds a zone by its key. A word may contain a zone whose nodes are not listed here yet: it has no name so far.
 func (m *Monitor) zone(key uint32, name string) *zone {
 	z := m.zones[key]
 	if z == nil {
@@ -218,7 +222,7 @@
 	return z
 }
 
-// Node names a member of the list, its group and its zone. One without a zone is in none.
+// Node adds a listed node with its group and zone, or moves it to another zone. A node without a zone name is ignored.
 func (m *Monitor) Node(id int, uid, name string, group int) {
 	for id >= len(m.nodes) {
 		m.nodes = append(m.nodes, nil)
@@ -233,7 +237,7 @@
 	z.nodes = append(z.nodes, n)
 }
 
-// Forget ends a node: its index may stand for another.
+// Forget removes a node, so that its index may stand for another.
 func (m *Monitor) Forget(id int) {
 	if id >= len(m.nodes) || m.nodes[id] == nil {
 		return
@@ -243,8 +247,8 @@
 	m.nodes[id] = nil
 }
 
-// RecordOutcome tells how a submission of a txn type ended, and after how long. What a node turns away or misses shows nothing of its
-// zone, and is not told here.
+// RecordOutcome records how a submission of a txn type ended, and after how long. The host leaves out submissions that a node
+// turned away or missed, as they show nothing of its zone.
 func (m *Monitor) RecordOutcome(id, typ int, ok bool, latency, now float64) {
 	if id >= len(m.nodes) || m.nodes[id] == nil || typ < 0 {
 		return
@@ -271,7 +275,7 @@
 	m.evaluate(z, now)
 }
 
-// own sums what this router saw of a zone.
+// ownEvidence sums up what this router saw of a zone.
 func (m *Monitor) ownEvidence(z *zone, now float64) (s evidence) {
 	for _, n := range z.nodes {
 		x := n.seen.sum(now)
@@ -289,16 +293,16 @@
 	return s
 }
 
-// send writes a datagram, with our head.
+// send sends a datagram, and fills in its header.
 func (m *Monitor) send(to int, kind byte, h *head, x any, z *zone, now float64) {
 	*h = head{uint16(m.config.Me), m.config.Life, uint32(int64(now * 1000)), z.key}
-	text := format(kind, x)
+	datagram := format(kind, x)
 	m.counts.Tells++
-	m.counts.Bytes += int64(len(text))
-	m.effects.Sends = append(m.effects.Sends, Send{to, text})
+	m.counts.Bytes += int64(len(datagram))
+	m.effects.Sends = append(m.effects.Sends, Send{to, datagram})
 }
 
-// tell says our counts of a zone, to all or to those who gather.
+// sendCounts sends this router's counts of a zone to all routers, or to the gatherers if there are many routers.
 func (m *Monitor) sendCounts(z *zone, now float64) {
 	s := m.ownEvidence(z, now)
 	z.countsSentAt, z.lastCountsMatter = now, s.late+s.bad > 0 || z.isLeft
@@ -319,8 +323,8 @@
 	m.sendSum(z, now)
 }
 
-// addUp tells all what we have heard, where we gather: seldom while nothing could come of it, and not where two that come
-// before us have just said as much.
+// sendSum sends all routers what this one has heard, if it is a gatherer: seldom while that is too little for a step, and not at
+// all if enough gatherers before it have just sent about as much.
 func (m *Monitor) sendSum(z *zone, now float64) {
 	if now-z.sumSentAt < sumInterval || !slices.Contains(z.gatherers, m.config.Me) {
 		return
@@ -332,13 +336,13 @@
 	if s.share(true) < quietShare && !z.isLeft {
 		every = quietSumInterval
 	}
-	said := 0
+	covered := 0 // gatherers before this one whose sums do
 	for _, r := range z.gatherers[:slices.Index(z.gatherers, m.config.Me)] {
 		if w, ok := z.sums[r]; ok && now-w.at < sumValidFactor*every && float64(w.total()) >= sumCoverShare*float64(s.total()) {
-			said++
+			covered++
 		}
 	}
-	if now-z.sumSentAt < every || said >= enoughSums {
+	if now-z.sumSentAt < every || covered >= enoughSums {
 		return
 	}
 	z.sumSentAt = now
@@ -347,8 +351,8 @@
 	m.send(All, kindSum, &x.head, &x, z, now)
 }
 
-// Receive takes a datagram that came from the address of a peer, and tells whether it was one of ours. One that was long on its
-// way, or overtaken, says nothing.
+// Receive handles a datagram that came from the address of a peer, and tells whether it was valid. Counts and sums that were
+// delayed for long, or overtaken by newer ones, are ignored.
 func (m *Monitor) Receive(from int, datagram []byte, now float64) bool {
 	x, h, err := parse(datagram)
 	if err != nil || int(h.From) != from || from == m.config.Me || from >= len(m.offsets) {
@@ -356,7 +360,7 @@
 		return false
 	}
 	m.counts.Taken++
-	if w, ok := x.(*orderRequest); ok { // its number says whether it is old
+	if w, ok := x.(*orderRequest); ok { // its number tells whether it is outdated, so the time on its way does not matter
 		m.receiveOrder(w, now)
 		return true
 	}
@@ -397,12 +401,13 @@
 	return true
 }
 
-// homes are the zones of the routers that have trouble, the first two in order: whether there are two, and if not which one
-// it is, is all that matters. 0 is none.
+// homes holds the zones of the routers that have trouble, by hash: only the two lowest, as all that matters is whether there are
+// several, and if not, which one it is. 0 is none.
 type homes [2]uint32
 
 func (h homes) several() bool { return h[1] != 0 }
 
+// with adds the zones of o, and keeps the two lowest.
 func (h homes) with(o homes) homes {
 	if o == (homes{}) || o == h {
 		return h
@@ -415,14 +420,15 @@
 	return out
 }
 
-// sight is what some routers together saw of a zone of late.
+// evidence is what some routers together saw of a zone within the window.
 type evidence struct {
 	good, late, bad, voices int
 	homes                   homes
 	nodes, used             uint16
-	elsewhere, elsewhereBad int // outcomes in other regions of those who spoke of this zone, and those that were not good
+	elsewhere, elsewhereBad int // outcomes in other regions at the routers that reported on this zone, and how many of them were not good
 }
 
+// addElsewhere adds the outcomes of another region.
 func (s *evidence) addElsewhere(o evidence) {
 	s.elsewhere, s.elsewhereBad = s.elsewhere+o.total(), s.elsewhereBad+o.late+o.bad
 }
@@ -433,7 +439,7 @@
 	s.elsewhere, s.elsewhereBad = s.elsewhere+o.elsewhere, s.elsewhereBad+o.elsewhereBad
 }
 
-// beyond tells whether a share differs from another by more than chance would have it, as far as both are known.
+// differsFrom tells whether its share of bad ones is above that of o by more than chance explains, given the size of both.
 func (s *evidence) differsFrom(o evidence, late bool) bool {
 	m, n := float64(s.total()), float64(o.total())
 	if m == 0 || n == 0 {
@@ -445,7 +451,7 @@
 
 func (s *evidence) total() int { return s.good + s.late + s.bad }
 
-// share is that of bad ones; of those that were late, too.
+// share is the share of bad outcomes or, if late is set, of late and bad ones.
 func (s *evidence) share(late bool) float64 {
 	if s.total() == 0 {
 		return 0
@@ -456,7 +462,7 @@
 	return float64(s.bad) / float64(s.total())
 }
 
-// hears adds up what this router saw and what others have told it of theirs.
+// heardEvidence adds up what this router saw and the counts that peers have sent it.
 func (m *Monitor) heardEvidence(z *zone, now float64) evidence {
 	s := m.ownEvidence(z, now)
 	for from, w := range z.reports {
@@ -469,7 +475,8 @@
 	return s
 }
 
-// sees is the fullest sight that there is: gatherers' overlap, so they are not added up.
+// bestEvidence is the largest evidence available: what this router has heard, or one gatherer's sum. Sums overlap, so they are
+// not added up.
 func (m *Monitor) bestEvidence(z *zone, now float64) evidence {
 	s := m.heardEvidence(z, now)
 	for _, from := range m.freshSums(z, now) {
@@ -480,7 +487,7 @@
 	return s
 }
 
-// sumsOf lists whose sums count, in order.
+// freshSums lists the gatherers whose sums are recent, in order.
 func (m *Monitor) freshSums(z *zone, now float64) (out []int) {
 	for from, w := range z.sums {
 		if now-w.at > reportTTL {
@@ -493,15 +500,17 @@
 	return out
 }
 
-// elsewhere is what other regions show, by what this router knows; a quiet one knows it of those who spoke of the zone.
+// evidenceElsewhere is the evidence from other regions. A router without traffic knows it only from the routers that reported on
+// the zone.
 func (m *Monitor) evidenceElsewhere(z *zone, s evidence, now float64) (all evidence) {
 	for _, o := range m.sortedZones {
 		if o.region != z.region {
 			all.add(m.bestEvidence(o, now))
 		}
 	}
-	// Those who spoke of other zones had trouble there, so what they say of them is on the dark side, as it is for this zone;
-	// what the others saw is not. The darker one counts: a zone is not left for what happens everywhere.
+	// Routers report on a zone when they have trouble with it, so that reports on other zones are too pessimistic, as those on
+	// this zone are; the elsewhere counts in reports on this zone are not. The worse of both counts, so that a zone is not left
+	// for trouble that is everywhere.
 	told := evidence{good: s.elsewhere - s.elsewhereBad, bad: s.elsewhereBad}
 	if all.total() == 0 || told.share(true) > all.share(true) || told.share(true) == all.share(true) && told.total() > all.total() {
 		return told
@@ -509,8 +518,8 @@
 	return all
 }
 
-// rest is the part of the other regions' nodes that is in use. They bear what a zone that is left had: the fewer there are
-// beside those that are out already, the less trouble they may have themselves.
+// otherNodesInUse is the share of the other regions' nodes that is in use. These nodes take over the load of a zone that is left:
+// the fewer of them are in use, the less trouble they may have themselves for the zone to be left.
 func (m *Monitor) otherNodesInUse(z *zone) float64 {
 	used, all := 0.0, 0.0
 	for _, o := range m.sortedZones {
@@ -529,7 +538,7 @@
 	return used / all
 }
 
-// ownElsewhere is what this router itself saw of other regions.
+// ownEvidenceElsewhere is what this router itself saw of other regions.
 func (m *Monitor) ownEvidenceElsewhere(z *zone, now float64) (all evidence) {
 	for _, o := range m.sortedZones {
 		if o.region != z.region {
@@ -539,12 +548,12 @@
 	return all
 }
 
-// ill tells whether a zone fails as such, or is late as such.
+// isFailing tells whether the zone as a whole fails or is late, rather than single nodes, the network to it, or all zones.
 func (m *Monitor) isFailing(z *zone, s, other evidence, now float64) bool {
 	switch {
-	case other.total() == 0: // no other to compare with
+	case other.total() == 0: // there is no other region to compare with
 		return false
-	case !s.homes.several() && s.homes[0] != hash(m.config.Zone): // it is the way there from another zone
+	case !s.homes.several() && s.homes[0] != hash(m.config.Zone): // only one other zone has trouble: the network between is at fault
 		return false
 	case bits.OnesCount16(s.nodes) < min(minBadNodes, len(z.nodes)) || float64(bits.OnesCount16(s.nodes)) < minBadNodeShare*float64(bits.OnesCount16(s.used)):
 		return false
@@ -555,9 +564,9 @@
 		if late {
 			n, mine, least = n+s.late, mine+own.late, minLateShare
 		}
-		// Late ones elsewhere are half a trouble to a zone that fails.
+		// Where a zone is to be left for bad outcomes, late ones count half.
 		there, here := other.share(late)+other.share(true), s.share(late)+s.share(true)
-		if there > maxElsewhereShare*rest*here || !s.differsFrom(other, late) { // the trouble is there too, or it may be chance
+		if there > maxElsewhereShare*rest*here || !s.differsFrom(other, late) { // the other regions have the trouble, too, or it may be chance
 			continue
 		}
 		if !late && mine >= minOwnBad && float64(mine) >= minOwnBadShare*float64(own.total()) || n >= minBad && s.share(late) >= least && s.voices >= min(minVoices, m.config.Routers) {
@@ -567,8 +576,8 @@
 	return false
 }
 
-// ranks gives our place in the order for a zone, in which routers return; and where there are many, its last ones: they add
-// up what all say of it.
+// rankRouters returns this router's rank in the order in which routers return to a zone. If there are many routers, the last ones
+// in that order are the zone's gatherers.
 func (m *Monitor) rankRouters(key uint32) (place int, gather []int) {
 	rank := func(router int) uint64 {
 		var b [8]byte
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -15,37 +15,37 @@
 	"eiderway/testing/scenario"
 )
 
-// fleet is many Monitors in virtual time. Each router reads at chance times from a node of a zone that it does not doubt, the
-// way a splitter would where all have room.
+// fleet runs many Monitors in virtual time. Each router reads at random times from a node that it does not doubt, as a splitter
+// does while all nodes have room.
 type fleet struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      float64
-	zones    []string
-	regions  map[string]string
-	monitors []*Monitor
-	home     []string
-	doubted  [][]float64 // by router and node
-	nodes    []string    // their zones
-	ill      []float64   // share of their answers that are bad
-	slow     []float64   // times its usual latency that each takes
-	asks     []int       // reads of each
-	late     float64     // s until a bad one is known
-	holder   int         // who numbers the steps; -1: nobody
-	dead     []bool      // by router
-	token    uint64
-	mute     map[int]bool    // holders whose words go nowhere
-	cut      map[string]bool // ways from routers of a zone to nodes and routers of another
-	silent   map[string]bool // only to routers
-	rate     float64         // reads a second of a router
-	queue    queue
-	count    int
-	asked    map[string]int
-	bytes    int
-	events   []Event
-	steps    int
-	word     string
-	speaks   int // numbers a holder's series of words
+	t            *testing.T
+	rng          *rand.Rand
+	now          float64
+	zones        []string
+	regions      map[string]string
+	monitors     []*Monitor
+	home         []string
+	doubtedUntil [][]float64 // by router and node
+	nodes        []string    // zone of each node
+	badShare     []float64   // share of bad answers of each node
+	slowdown     []float64   // factor on the usual latency of each node
+	nodeReads    []int       // reads of each node
+	badAfter     float64     // s until a bad answer is known
+	holder       int         // router that numbers the steps; -1: none
+	dead         []bool      // by router
+	token        uint64
+	muted        map[int]bool    // holders whose words are lost
+	cut          map[string]bool // "FROM>TO": routers of one zone reach neither nodes nor routers of another
+	silent       map[string]bool // the same, but only for routers
+	rate         float64         // reads per second of each router
+	queue        queue
+	count        int
+	zoneReads    map[string]int
+	bytes        int
+	events       []Event
+	steps        int
+	word         string
+	wordNumber   int // number of the newest word
 }
 
 type due struct {
@@ -74,10 +74,10 @@
 }
 
 func newFleet(t *testing.T, routers int, zones []string, nodesEach int, rate float64, regions map[string]string) *fleet {
-	f := &fleet{regions: regions, t: t, rng: rand.New(rand.NewSource(1)), now: 100, zones: zones, cut: map[string]bool{}, rate: rate, holder: -1, dead: make([]bool, routers), mute: map[int]bool{}, silent: map[string]bool{}, asked: map[string]int{}, late: 0.003}
+	f := &fleet{regions: regions, t: t, rng: rand.New(rand.NewSource(1)), now: 100, zones: zones, cut: map[string]bool{}, rate: rate, holder: -1, dead: make([]bool, routers), muted: map[int]bool{}, silent: map[string]bool{}, zoneReads: map[string]int{}, badAfter: 0.003}
 	for k := range nodesEach * len(zones) {
 		f.nodes = append(f.nodes, zones[k%len(zones)])
-		f.ill, f.slow, f.asks = append(f.ill, 0), append(f.slow, 1), append(f.asks, 0)
+		f.badShare, f.slowdown, f.nodeReads = append(f.badShare, 0), append(f.slowdown, 1), append(f.nodeReads, 0)
 	}
 	for i := range routers {
 		f.home = append(f.home, zones[i%len(zones)])
@@ -86,25 +86,25 @@
 			b.Node(k, fmt.Sprint("n", k), z, k%3)
 		}
 		f.monitors = append(f.monitors, b)
-		f.doubted = append(f.doubted, make([]float64, len(f.nodes)))
+		f.doubtedUntil = append(f.doubtedUntil, make([]float64, len(f.nodes)))
 		f.after(f.rng.Float64()/rate, func() { f.read(i) })
 		f.after(0.01, func() { f.tick(i) })
 	}
 	return f
 }
 
-func (f *fleet) clock(i int) float64 { return f.now + 1000*float64(i) } // each has its own
+func (f *fleet) clock(i int) float64 { return f.now + 1000*float64(i) } // routers' clocks differ
 
-func (f *fleet) act(i int) {
+func (f *fleet) applyEffects(i int) {
 	e := f.monitors[i].Effects()
 	f.events = append(f.events, e.Events...)
 	f.steps += len(e.Events)
 	if e.Word != "" && i == f.holder {
 		f.word = e.Word
-		f.speak(i)
+		f.sendWord(i)
 	}
 	for _, d := range e.Doubts {
-		f.doubted[i][d.Node] = d.Until
+		f.doubtedUntil[i][d.Node] = d.Until
 	}
 	for _, s := range e.Sends {
 		for k := range f.monitors {
@@ -112,44 +112,44 @@
 				f.bytes += len(s.Bytes)
 				f.after(0.0005+0.005*f.rng.Float64(), func() {
 					f.monitors[k].Receive(i, s.Bytes, f.clock(k))
-					f.act(k)
+					f.applyEffects(k)
 				})
 			}
 		}
 	}
 }
 
-// speak has the holder's word go to all, and again until there is another: what package lease does where all is well.
-func (f *fleet) speak(i int) {
-	f.speaks++
-	n, text := f.speaks, f.word
+// sendWord sends the holder's word to all routers, and repeats it until there is another, as package lease does without faults.
+func (f *fleet) sendWord(i int) {
+	f.wordNumber++
+	n, text := f.wordNumber, f.word
 	for k := range f.monitors {
-		if k != i && !f.dead[k] && !f.mute[i] {
+		if k != i && !f.dead[k] && !f.muted[i] {
 			f.after(0.0005+0.005*f.rng.Float64(), func() {
-				if f.speaks == n { // a newer one is obeyed else
+				if f.wordNumber == n { // else a newer word has been obeyed
 					require.NoError(f.t, f.monitors[k].Obey(i, text, f.clock(k)))
-					f.act(k)
+					f.applyEffects(k)
 				}
 			})
 		}
 	}
 	f.after(0.4, func() {
-		if f.speaks == n && f.holder == i && !f.dead[i] {
-			f.speak(i)
+		if f.wordNumber == n && f.holder == i && !f.dead[i] {
+			f.sendWord(i)
 		}
 	})
 }
 
-// hold has a router number the steps, or nobody.
-func (f *fleet) hold(i int) {
+// setHolder makes a router the holder, or none (-1).
+func (f *fleet) setHolder(i int) {
 	if was := f.holder; was >= 0 {
 		f.monitors[was].SetHolder(false, 0, f.clock(was))
 	}
-	f.speaks++
+	f.wordNumber++
 	if f.holder = i; i >= 0 {
 		f.token++
 		f.monitors[i].SetHolder(true, f.token, f.clock(i))
-		f.act(i)
+		f.applyEffects(i)
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 	if f.monitors[i].Next() <= f.clock(i) {
 		f.monitors[i].Step(f.clock(i))
-		f.act(i)
+		f.applyEffects(i)
 	}
 	f.after(0.01, func() { f.tick(i) })
 }
@@ -172,7 +172,7 @@
 	var best []int
 	least := math.Inf(1)
 	for k := range f.nodes {
-		d := max(f.doubted[i][k], f.clock(i))
+		d := max(f.doubtedUntil[i][k], f.clock(i))
 		switch {
 		case d < least:
 			best, least = []int{k}, d
@@ -181,27 +181,27 @@
 		}
 	}
 	n := best[f.rng.Intn(len(best))]
-	f.asked[f.nodes[n]]++
-	f.asks[n]++
-	bad := f.rng.Float64() < f.ill[n] || f.cut[f.home[i]+">"+f.nodes[n]]
-	wait := 0.003 * (0.5 + f.rng.Float64()) * f.slow[n]
+	f.zoneReads[f.nodes[n]]++
+	f.nodeReads[n]++
+	bad := f.rng.Float64() < f.badShare[n] || f.cut[f.home[i]+">"+f.nodes[n]]
+	wait := 0.003 * (0.5 + f.rng.Float64()) * f.slowdown[n]
 	if bad {
-		wait = f.late
+		wait = f.badAfter
 	}
 	f.after(wait, func() {
 		if f.dead[i] {
 			return
 		}
 		f.monitors[i].RecordOutcome(n, 0, !bad, wait, f.clock(i))
-		f.act(i)
+		f.applyEffects(i)
 	})
 }
 
-// sicken sets the share of bad answers of a zone's nodes.
-func (f *fleet) sicken(zone string, share float64) {
+// setBadShare sets the share of bad answers of a zone's nodes.
+func (f *fleet) setBadShare(zone string, share float64) {
 	for k, z := range f.nodes {
 		if z == zone {
-			f.ill[k] = share
+			f.badShare[k] = share
 		}
 	}
 }
@@ -218,8 +218,8 @@
 	}
 }
 
-// using counts the routers, of a home or all (""), that use a zone.
-func (f *fleet) using(zone, home string) (n int) {
+// countUsers counts the routers that use a zone, among those of a home zone or all ("").
+func (f *fleet) countUsers(zone, home string) (n int) {
 	for i, b := range f.monitors {
 		if f.dead[i] || home != "" && f.home[i] != home {
 			continue
@@ -250,17 +250,17 @@
 				for _, z := range w[2:] {
 					regions[z] = w[1]
 				}
-			case "fleet": // routers, nodes of a zone, reads a second of a router, zones
+			case "fleet": // ROUTERS NODES RATE ZONE...: nodes of each zone, reads per second of each router
 				f = newFleet(t, int(num(1)), w[4:], int(num(2)), num(3), regions)
-			case "holder": // numbers the steps from now on; -1: nobody
-				f.hold(int(num(1)))
-			case "mute": // this holder's words go nowhere, though it goes on
-				f.mute[int(num(1))] = true
-			case "kill": // routers from one number to another
+			case "holder": // ROUTER: numbers the steps from now on; -1: none does
+				f.setHolder(int(num(1)))
+			case "mute": // ROUTER: the words of this holder are lost, though it goes on
+				f.muted[int(num(1))] = true
+			case "kill": // FIRST LAST: routers
 				for i := int(num(1)); i <= int(num(2)); i++ {
 					f.dead[i] = true
 				}
-			case "order": // WHAT ZONE, asked of a router; "not" where it has to be refused
+			case "order": // WHAT ZONE ROUTER [not]: the order is given at this router; "not" if it must be refused
 				what := map[string]Override{"auto": Auto, "leave": Leave, "hold": Hold}[w[1]]
 				i := int(num(3))
 				err := f.monitors[i].Order(w[2], what, f.clock(i))
@@ -269,68 +269,68 @@
 				} else {
 					require.NoError(t, err, where)
 				}
-				f.act(i)
-			case "slow": // a zone or all, times its usual latency, and perhaps how many of its nodes
+				f.applyEffects(i)
+			case "slow": // ZONE|all FACTOR [NODES]: factor on the usual latency, and how many nodes at most
 				most := len(f.nodes)
 				if len(w) > 3 {
 					most = int(num(3))
 				}
 				for k, z := range f.nodes {
 					if (z == w[1] || w[1] == "all") && most > 0 {
-						f.slow[k] = num(2)
+						f.slowdown[k] = num(2)
 						most--
 					}
 				}
-			case "ill": // a zone or all, share of bad answers, and perhaps how many of its nodes
+			case "ill": // ZONE|all SHARE [NODES]: share of bad answers, and how many nodes at most
 				most := len(f.nodes)
 				if len(w) > 3 {
 					most = int(num(3))
 				}
 				for k, z := range f.nodes {
 					if (z == w[1] || w[1] == "all") && most > 0 {
-						f.ill[k] = num(2)
+						f.badShare[k] = num(2)
 						most--
 					}
 				}
-			case "late":
-				f.late = num(1)
-			case "silence": // no datagram gets from one zone's routers to another's
+			case "late": // SECONDS until a bad answer is known
+				f.badAfter = num(1)
+			case "silence": // FROM>TO: no datagram of one zone's routers reaches those of another
 				f.silent[w[1]] = true
 			case "cut", "mend":
 				f.cut[w[1]] = w[0] == "cut"
 			case "wait":
-				clear(f.asked)
+				clear(f.zoneReads)
 				f.run(num(1))
-			case "drop": // a zone's nodes are no more in the list
+			case "drop": // ZONE: its nodes are no longer listed
 				for k, z := range f.nodes {
 					for i := range f.monitors {
 						if z == w[1] {
 							f.monitors[i].Forget(k)
-							f.doubted[i][k] = math.Inf(1)
+							f.doubtedUntil[i][k] = math.Inf(1)
 						}
 					}
 				}
-			case "start": // a router starts anew
+			case "start": // ROUTER: it restarts
 				i := int(num(1))
 				f.dead[i] = false
 				f.monitors[i] = New(Config{Me: i, Routers: len(f.monitors), Zone: f.home[i], Life: 99, Every: 0.4, Regions: f.regions})
-				f.doubted[i] = make([]float64, len(f.nodes))
+				f.doubtedUntil[i] = make([]float64, len(f.nodes))
 				for k, z := range f.nodes {
 					f.monitors[i].Node(k, fmt.Sprint("n", k), z, k%3)
 				}
-			case "expect": // using ZONE MOST [HOME], uses ZONE LEAST [HOME], asked ZONE MOST, steps MOST
+			case "expect": // using ZONE MAX [HOME], uses ZONE MIN [HOME], asked ZONE MAX (reads), steps MAX
 				home := ""
 				if len(w) > 4 {
 					home = w[4]
 				}
 				switch w[1] {
 				case "using":
-					require.LessOrEqual(t, f.using(w[2], home), int(num(3)), "%s; steps %+v", where, f.events)
+					require.LessOrEqual(t, f.countUsers(w[2], home), int(num(3)), "%s; steps %+v", where, f.events)
 				case "uses":
-					require.GreaterOrEqual(t, f.using(w[2], home), int(num(3)), where)
+					require.GreaterOrEqual(t, f.countUsers(w[2], home), int(num(3)), where)
 				case "asked":
-					require.LessOrEqual(t, f.asked[w[2]], int(num(3)), where)
-				case "hand": // ZONE WHAT: so all know it
+					require.LessOrEqual(t, f.zoneReads[w[2]], int(num(3)), where)
+				case "hand": // ZONE WHAT: all routers know this order
 					for i, b := range f.monitors {
 						for _, s := range b.States(f.clock(i)) {
 							if s.Zone == w[2] && !f.dead[i] {
@@ -338,7 +338,7 @@
 							}
 						}
 					}
-				case "same": // ZONE: all have the same share of it
+				case "same": // ZONE: all routers have the same share for it as the holder
 					for i, b := range f.monitors {
 						for k, s := range b.States(f.clock(i)) {
 							if s.Zone == w[2] && !f.dead[i] {
@@ -358,38 +358,38 @@
 	})
 }
 
-var most = flag.Int("routers", 30, "routers at most, for TestSize; 1000 take some minutes")
+var maxRouters = flag.Int("routers", 30, "largest fleet, for TestFleetsOfAllSizesLeaveInTime; 1000 take some minutes")
 
-// TestSize: how long it takes until all have left, what is told, and how they return, as the fleet grows at the same whole
-// load, with a router that numbers the steps and without.
-func TestSize(t *testing.T) {
+// TestFleetsOfAllSizesLeaveInTime measures how long it takes until nearly all routers have left a zone, how much they send, and how
+// they return, as the fleet grows under the same total load, with a holder and without.
+func TestFleetsOfAllSizesLeaveInTime(t *testing.T) {
 	for _, zones := range [][]string{{"a", "b", "c"}, {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}} {
 		for _, n := range []int{3, 10, 30, 100, 300, 1000} {
-			if n > *most {
+			if n > *maxRouters {
 				break
 			}
 			for _, holder := range []int{-1, 1} {
 				f := newFleet(t, n, zones, 12/len(zones)+2, 600/float64(n), nil)
 				if holder >= 0 {
-					f.hold(holder)
+					f.setHolder(holder)
 				}
 				f.run(2)
-				f.sicken("c", 1)
-				from, before := f.now, f.asked["c"]
-				for f.using("c", "") > n/10 && f.now < from+5 {
+				f.setBadShare("c", 1)
+				from, before := f.now, f.zoneReads["c"]
+				for f.countUsers("c", "") > n/10 && f.now < from+5 {
 					f.run(0.01)
 				}
-				left, vain := f.now-from, f.asked["c"]-before
+				left, badReads := f.now-from, f.zoneReads["c"]-before
 				f.run(from + 3 - f.now)
-				told := float64(f.bytes) / float64(n) / (f.now - from)
-				f.sicken("c", 0)
-				clear(f.asked)
+				bytesRate := float64(f.bytes) / float64(n) / (f.now - from)
+				f.setBadShare("c", 0)
+				clear(f.zoneReads)
 				steps, back := f.steps, f.now
-				for f.using("c", "") < n && f.now < back+20 {
+				for f.countUsers("c", "") < n && f.now < back+20 {
 					f.run(0.05)
 				}
 				took := f.now - back
-				t.Logf("| %d | %d | %s | %.2f | %d | %.0f | %.2f | %.1f |", len(zones), n, map[bool]string{true: "numbers", false: "nobody"}[holder >= 0], left, vain, told,
+				t.Logf("| %d | %d | %s | %.2f | %d | %.0f | %.2f | %.1f |", len(zones), n, map[bool]string{true: "numbers", false: "nobody"}[holder >= 0], left, badReads, bytesRate,
 					took, float64(f.steps-steps)/float64(n))
 				if n <= 300 {
 					require.Less(t, left, 2.0)
@@ -399,79 +399,80 @@
 	}
 }
 
-func TestWords(t *testing.T) {
+// TestStaleAndDamagedDatagramsAreIgnored: datagrams that are damaged, come from another address, were delayed or overtaken do not count.
+func TestStaleAndDamagedDatagramsAreIgnored(t *testing.T) {
 	b := New(Config{Me: 0, Routers: 3, Zone: "a", Life: 1})
 	b.Node(0, "n0", "a", 0)
 	b.Node(1, "n1", "b", 0)
 	b.Node(2, "n2", "b", 0)
-	word := func(life, at uint32, bad uint16) []byte {
+	datagram := func(life, at uint32, bad uint16) []byte {
 		return format(kindCounts, &counts{head: head{From: 1, Life: life, At: at, Zone: hash("b")}, Home: hash("a"), Bad: bad, Nodes: 3, Used: 3})
 	}
-	good := word(5, 1000, 9)
+	good := datagram(5, 1000, 9)
 	require.Len(t, good, 37)
 	for i := range good {
-		spoilt := slices.Clone(good)
-		spoilt[i] ^= 4
-		require.False(t, b.Receive(1, spoilt, 50), "byte %d", i)
+		damaged := slices.Clone(good)
+		damaged[i] ^= 4
+		require.False(t, b.Receive(1, damaged, 50), "byte %d", i)
 	}
-	require.False(t, b.Receive(2, good, 50), "from another's address")
+	require.False(t, b.Receive(2, good, 50), "from the address of another router")
 	require.True(t, b.Receive(1, good, 50))
 	require.Equal(t, 9, b.bestEvidence(b.zones[hash("b")], 50).bad)
-	require.True(t, b.Receive(1, word(5, 1100, 4), 53.1), "three seconds on its way")
+	require.True(t, b.Receive(1, datagram(5, 1100, 4), 53.1), "delayed by three seconds")
 	require.Equal(t, int64(1), b.Counts().Old)
 	require.Zero(t, b.bestEvidence(b.zones[hash("b")], 53.1).bad)
-	require.True(t, b.Receive(1, word(5, 4100, 7), 53.1))
-	require.True(t, b.Receive(1, word(5, 4050, 1), 53.1), "overtaken")
+	require.True(t, b.Receive(1, datagram(5, 4100, 7), 53.1))
+	require.True(t, b.Receive(1, datagram(5, 4050, 1), 53.1), "overtaken")
 	require.Equal(t, 7, b.bestEvidence(b.zones[hash("b")], 53.1).bad)
-	require.True(t, b.Receive(1, word(6, 1, 3), 53.2), "it has started anew, its clock too")
+	require.True(t, b.Receive(1, datagram(6, 1, 3), 53.2), "the peer has restarted, with a new clock")
 	require.Equal(t, 3, b.bestEvidence(b.zones[hash("b")], 53.2).bad)
 	b.Forget(1)
 	b.Forget(2)
-	require.True(t, b.Receive(1, word(6, 50, 3), 53.25), "of a zone without nodes")
+	require.True(t, b.Receive(1, datagram(6, 50, 3), 53.25), "about a zone without nodes")
 	b.Node(1, "n1", "b", 0)
-	b.Node(1, "n1", "a", 0) // it was moved
+	b.Node(1, "n1", "a", 0) // the node was moved to another zone
 	require.Len(t, b.zones[hash("b")].nodes, 0)
 	require.True(t, math.IsInf(b.Next(), 1))
 }
 
-var long = flag.Float64("hours", 0.005, "hours of each kind of day in TestNoHarm")
+var hours = flag.Float64("hours", 0.005, "hours of each kind of trouble in TestHealthyZonesAreNotLeft")
 
-// TestNoHarm: no zone is left on calm days, for single bad nodes that come and go, nor where all are overloaded; and what a
-// zone that flaps costs.
-func TestNoHarm(t *testing.T) {
+// TestHealthyZonesAreNotLeft: no zone is left while all is well, for single bad nodes that come and go, or while all zones are
+// overloaded. It also bounds the cost of a zone that flaps.
+func TestHealthyZonesAreNotLeft(t *testing.T) {
 	if testing.Short() {
 		t.Skip("one thread: nothing to race")
 	}
 	for name, trouble := range map[string]func(f *fleet, at int){
 		"calm": func(*fleet, int) {},
 		"single bad nodes": func(f *fleet, at int) {
-			for k := range f.ill {
-				f.ill[k], f.slow[k] = 0, 1
+			for k := range f.badShare {
+				f.badShare[k], f.slowdown[k] = 0, 1
 			}
 			k := f.rng.Intn(len(f.nodes))
 			if at%2 == 0 {
-				f.ill[k] = 0.2 + 0.8*f.rng.Float64()
+				f.badShare[k] = 0.2 + 0.8*f.rng.Float64()
 			} else {
-				f.slow[k] = 5 + 20*f.rng.Float64()
+				f.slowdown[k] = 5 + 20*f.rng.Float64()
 			}
 		},
 		"overload everywhere": func(f *fleet, at int) {
-			for k := range f.ill {
-				f.ill[k], f.slow[k] = 0.2+0.3*f.rng.Float64(), 2+10*f.rng.Float64()
+			for k := range f.badShare {
+				f.badShare[k], f.slowdown[k] = 0.2+0.3*f.rng.Float64(), 2+10*f.rng.Float64()
 			}
 		},
 		"overload that comes and goes": func(f *fleet, at int) {
-			for k := range f.ill {
-				f.ill[k], f.slow[k] = 0.5*float64(at%2), 1+9*float64(at%2)
+			for k := range f.badShare {
+				f.badShare[k], f.slowdown[k] = 0.5*float64(at%2), 1+9*float64(at%2)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 30, []string{"a", "b", "c"}, 6, 20, nil)
-			f.hold(3)
+			f.setHolder(3)
 			f.run(3)
-			for at := 0; f.now < 103+*long*3600; at++ {
+			for at := 0; f.now < 103+*hours*3600; at++ {
 				trouble(f, at)
 				f.run(3)
 			}
@@ -481,29 +482,30 @@
 	t.Run("flaps", func(t *testing.T) {
 		t.Parallel()
 		f := newFleet(t, 30, []string{"a", "b", "c"}, 6, 20, nil)
-		f.hold(3)
+		f.setHolder(3)
 		f.run(3)
-		flaps := max(3, int(*long*100))
-		vain, well := 0, 0
+		flaps := max(3, int(*hours*100))
+		badReads, goodReads := 0, 0
 		for range flaps {
-			f.sicken("c", 1)
-			clear(f.asked)
+			f.setBadShare("c", 1)
+			clear(f.zoneReads)
 			f.run(2)
-			vain += f.asked["c"]
-			f.sicken("c", 0)
-			clear(f.asked)
+			badReads += f.zoneReads["c"]
+			f.setBadShare("c", 0)
+			clear(f.zoneReads)
 			f.run(8)
-			well += f.asked["c"]
+			goodReads += f.zoneReads["c"]
 		}
 		ordinary := 30.0 * 20 / 3
-		t.Logf("%d flaps, 2 s ill and 8 s well: %.1f reads in vain a flap, %.2f of its ordinary share while it was well", flaps, float64(vain)/float64(flaps),
-			float64(well)/float64(flaps)/8/ordinary)
-		require.Less(t, float64(vain)/float64(flaps), 0.15*2*ordinary)
+		t.Logf("%d flaps, 2 s ill and 8 s well: %.1f bad reads per flap, %.2f of its ordinary share while it was well", flaps, float64(badReads)/float64(flaps),
+			float64(goodReads)/float64(flaps)/8/ordinary)
+		require.Less(t, float64(badReads)/float64(flaps), 0.15*2*ordinary)
 	})
 }
 
-// TestHolderWord: a word that is full fits a datagram of package lease, and what is none is an error that changes nothing.
-func TestHolderWord(t *testing.T) {
+// TestWordFitsADatagramAndIsChecked: a full word fits in a datagram of package lease, and a malformed one is an error that changes
+// nothing.
+func TestWordFitsADatagramAndIsChecked(t *testing.T) {
 	var all []wordEntry
 	for range maxWordEntries {
 		all = append(all, wordEntry{math.MaxUint32, 0.0667, Hold, 1_900_000_000_000<<12 + 4095})
@@ -528,12 +530,12 @@
 	require.NoError(t, b.Obey(2, key+":1:0:6", 10.1), "an older order")
 	e := b.Effects()
 	require.Equal(t, Leave, b.zones[hash("b")].override)
-	require.Len(t, e.Sends, 1, "its holder is told of the newer one")
+	require.Len(t, e.Sends, 1, "the sender is told of the newer order")
 	require.Equal(t, 2, e.Sends[0].To)
 }
 
-// TestOrdersHaveRoom: there may be as many orders at a time as a word has room for; more zones than that may have had one.
-func TestOrdersHaveRoom(t *testing.T) {
+// TestOrdersAreLimitedToAWord: as many orders may stand at a time as a word has room for; orders that are over don't count.
+func TestOrdersAreLimitedToAWord(t *testing.T) {
 	b := New(Config{Me: 0, Routers: 3, Zone: "z0", Life: 1, Every: 0.4})
 	for k := range 2 * maxWordEntries {
 		b.Node(k, fmt.Sprint("n", k), fmt.Sprint("z", k), 0)
@@ -548,12 +550,12 @@
 	}
 	require.NoError(t, b.Order(fmt.Sprint("z", maxWordEntries), Leave, 11))
 	text := b.Effects().Word
-	require.Contains(t, text, fmt.Sprintf("%x:0:1:", hash(fmt.Sprint("z", maxWordEntries))), "what stands comes first")
+	require.Contains(t, text, fmt.Sprintf("%x:0:1:", hash(fmt.Sprint("z", maxWordEntries))), "orders that stand come first")
 	other := New(Config{Me: 1, Routers: 3, Zone: "z0", Life: 2, Every: 0.4})
 	for k := range 2 * maxWordEntries {
 		other.Node(k, fmt.Sprint("n", k), fmt.Sprint("z", k), 0)
-		other.zones[hash(fmt.Sprint("z", k))].orderNumber = 1 // it has heard orders that are over
+		other.zones[hash(fmt.Sprint("z", k))].orderNumber = 1 // it knows of orders that are over
 	}
 	require.NoError(t, other.Obey(0, text, 11))
-	require.Empty(t, other.Effects().Sends, "what a full word leaves out is not told to its holder")
+	require.Empty(t, other.Effects().Sends, "orders that a full word leaves out are not sent to the holder")
 }
