--- a/pgwire/pgwire.go
+++ b/pgwire/pgwire.go
@@ -23,14 +23,14 @@
 
 // Codes that stand where a startup message has its version.
 const (
-	Version3  = 3 << 16
-	Cancel    = 80877102
-	SSL       = 80877103
-	GSSEncode = 80877104
+	Version3      = 3 << 16
+	CancelRequest = 80877102
+	SSLRequest    = 80877103
+	GSSEncRequest = 80877104
 )
 
-// ErrMessage is the error of every malformed message.
-var ErrMessage = errors.New("malformed message")
+// ErrMalformed is the error of every malformed message.
+var ErrMalformed = errors.New("malformed message")
 
 // Message is one message. Its body holds until the buffer is filled again.
 type Message struct {
@@ -40,10 +40,10 @@
 
 // Buffer is the one buffer of a connection: it grows as a message needs and is compacted in place.
 type Buffer struct {
-	b    []byte
-	r, w int
-	need int // bytes that the message begun takes in all
-	Most int // what bounds a message, MaxMessage where it is 0
+	b         []byte
+	r, w      int
+	need      int // bytes that the message begun takes in all
+	MaxLength int // what bounds a message, MaxMessage where it is 0
 
 	startup []byte // the parameters of the startup message, until the buffer is filled again
 }
@@ -51,19 +51,19 @@
 // Unread tells how many bytes wait to be parsed.
 func (b *Buffer) Unread() int { return b.w - b.r }
 
-// Crowded tells that as much waits as a buffer keeps: whoever reads ahead stops here.
-func (b *Buffer) Crowded() bool { return b.w-b.r >= keepAtMost }
+// IsFull tells that as much waits as a buffer keeps: whoever reads ahead stops here.
+func (b *Buffer) IsFull() bool { return b.w-b.r >= keepAtMost }
 
-// Begun tells the type of the message that has come in part, 0 where there is none.
-func (b *Buffer) Begun() byte {
+// PartialType tells the type of the message that has come in part, 0 where there is none.
+func (b *Buffer) PartialType() byte {
 	if b.Unread() == 0 {
 		return 0
 	}
 	return b.b[b.r]
 }
 
-// Large tells that the message begun takes more room than a buffer keeps.
-func (b *Buffer) Large() bool { return b.need > keepAtMost }
+// IsPartialLarge tells that the message begun takes more room than a buffer keeps.
+func (b *Buffer) IsPartialLarge() bool { return b.need > keepAtMost }
 
 // Fill reads once.
 func (b *Buffer) Fill(src io.Reader) error {
@@ -98,8 +98,8 @@
 		return Message{}, false, nil
 	}
 	n := int(int32(binary.BigEndian.Uint32(b.b[b.r+1:])))
-	if n < 4 || n > cmp.Or(b.Most, MaxMessage) {
-		return Message{}, false, fmt.Errorf("%w: length %d", ErrMessage, n)
+	if n < 4 || n > cmp.Or(b.MaxLength, MaxMessage) {
+		return Message{}, false, fmt.Errorf("%w: length %d", ErrMalformed, n)
 	}
 	if b.need = n + 1; b.Unread() < b.need {
 		return Message{}, false, nil
@@ -118,7 +118,7 @@
 	}
 	n := int(int32(binary.BigEndian.Uint32(b.b[b.r:])))
 	if n < 8 || n > maxStartup {
-		return 0, false, fmt.Errorf("%w: startup of length %d", ErrMessage, n)
+		return 0, false, fmt.Errorf("%w: startup of length %d", ErrMalformed, n)
 	}
 	if b.need = n; b.Unread() < n {
 		return 0, false, nil
@@ -202,8 +202,8 @@
 	return Append(dst, 'E', append(parts, "\x00")...)
 }
 
-// Field finds a field of an ErrorResponse by its letter. In one that is malformed there is none.
-func Field(body []byte, letter byte) (value string) {
+// ErrorField finds a field of an ErrorResponse by its letter. In one that is malformed there is none.
+func ErrorField(body []byte, letter byte) (value string) {
 	for len(body) > 0 && body[0] != 0 {
 		v, rest, ok := cutZero(body[1:])
 		if !ok {
@@ -230,8 +230,8 @@
 	return name, value, ok && len(rest) == 0
 }
 
-// Columns tells how many columns a RowDescription or DataRow has, -1 where it is malformed.
-func Columns(body []byte) int {
+// ColumnCount tells how many columns a RowDescription or DataRow has, -1 where it is malformed.
+func ColumnCount(body []byte) int {
 	if len(body) < 2 {
 		return -1
 	}
@@ -240,7 +240,7 @@
 
 // Value takes the value of a DataRow of one column; null is not ok.
 func Value(body []byte) (value []byte, ok bool) {
-	if Columns(body) != 1 || len(body) < 6 {
+	if ColumnCount(body) != 1 || len(body) < 6 {
 		return nil, false
 	}
 	n := int(int32(binary.BigEndian.Uint32(body[2:])))
--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -44,27 +44,27 @@
 		var b Buffer
 		require.NoError(t, b.Fill(strings.NewReader(bad)))
 		_, _, err := b.Next()
-		require.ErrorIs(t, err, ErrMessage, "%q", bad)
+		require.ErrorIs(t, err, ErrMalformed, "%q", bad)
 	}
-	reply := Buffer{Most: MaxReply}
+	reply := Buffer{MaxLength: MaxReply}
 	require.NoError(t, reply.Fill(strings.NewReader("D\x00\x01\x20\x01")))
-	require.Equal(t, byte('D'), reply.Begun())
+	require.Equal(t, byte('D'), reply.PartialType())
 	_, _, err := reply.Next()
-	require.ErrorIs(t, err, ErrMessage, "longer than a reply may be")
+	require.ErrorIs(t, err, ErrMalformed, "longer than a reply may be")
 	for _, bad := range []string{"\x00\x00\x00\x07\x00\x03\x00\x00", "\x7f\x00\x00\x07\x00\x03\x00\x00"} {
 		var b Buffer
 		require.NoError(t, b.Fill(strings.NewReader(bad)))
 		_, _, err := b.NextStartup()
-		require.ErrorIs(t, err, ErrMessage, "%q", bad)
+		require.ErrorIs(t, err, ErrMalformed, "%q", bad)
 	}
 }
 
 func TestFields(t *testing.T) {
 	e := AppendError(nil, "ERROR", "53300", "no", "250")[5:]
 	require.Equal(t, []string{"ERROR", "53300", "250", ""},
-		[]string{Field(e, 'S'), Field(e, 'C'), Field(e, 'D'), Field(e, 'X')})
+		[]string{ErrorField(e, 'S'), ErrorField(e, 'C'), ErrorField(e, 'D'), ErrorField(e, 'X')})
 	for _, bad := range []string{"", "D", "D5", "D5\x00", "\x00", "D5\x00\x00\x00", "D5\x00Cx", "D5\x00Cx\x00"} {
-		require.Empty(t, Field([]byte(bad), 'D'), "%q", bad)
+		require.Empty(t, ErrorField([]byte(bad), 'D'), "%q", bad)
 	}
 	name, value, ok := Parameter([]byte("mode\x00read-only\x00"))
 	require.Equal(t, []any{"mode", "read-only", true}, []any{name, value, ok})
@@ -88,7 +88,7 @@
 	s, err := ParseStatement(plain)
 	require.NoError(t, err)
 	require.Equal(t, []any{"9b1f", "basket", 0.48, 2, 1767225600.123, "7f3a"},
-		[]any{s.ID, s.Type, s.Wait, s.Group, s.Wrote, s.Key})
+		[]any{s.ID, s.Type, s.Wait, s.Group, s.MinPosition, s.Key})
 	require.Equal(t, AppendQuery(nil, strings.Replace(plain, "d=480", "d=97", 1)), s.AppendTo(nil, 0.0963),
 		"only d changes")
 
@@ -96,11 +96,11 @@
 	require.NoError(t, err)
 	require.Equal(t, "a", s.Key)
 	require.Contains(t, string(s.AppendTo(nil, 0.2)), ", d=200 ,k=5c,r=1,")
-	require.True(t, s.Again, "r=1 marks a retry")
+	require.True(t, s.IsRetry, "r=1 marks a retry")
 
 	s, err = ParseStatement(strings.Replace(plain, "c=basket", "c=basket,r=0", 1))
 	require.NoError(t, err)
-	require.False(t, s.Again, "any other r does not")
+	require.False(t, s.IsRetry, "any other r does not")
 
 	s, err = ParseStatement("/*id=1,c=x,d=99999999999999999999,cluster=0*/ SELECT 1")
 	require.NoError(t, err)
--- a/pgwire/statement.go
+++ b/pgwire/statement.go
@@ -12,29 +12,29 @@
 
 // Statement is a client's statement with what its comment says.
 type Statement struct {
-	Text    string
-	ID      string
-	Type    string  // the txn type's name
-	Wait    float64 // s the client waits for the answer
-	Group   int
-	Wrote   float64 // s, the position that the read must see; 0: none
-	Again   bool    // the client marks it as a retry
-	Key     string  // the first quoted value, which names the session where there are any
-	plain   bool    // it has no comment: it passes on as it came
-	waitAt  int     // where the value of d stands
-	waitEnd int
+	Text        string
+	ID          string
+	Type        string  // the txn type's name
+	Wait        float64 // s the client waits for the answer
+	Group       int
+	MinPosition float64 // s, the position that the read must see; 0: none
+	IsRetry     bool    // the client marks it as a retry
+	Key         string  // the first quoted value, which names the session where there are any
+	plain       bool    // it has no comment: it passes on as it came
+	waitAt      int     // where the value of d stands
+	waitEnd     int
 }
 
 // longestWait bounds d, in ms, so that no arithmetic on it runs over.
 const longestWait = 1 << 40
 
-// Plain is a statement without our comment, under an id that no comment can hold.
-func Plain(text string, number int, wait float64, group int) Statement {
+// NewUntagged is a statement without our comment, under an id that no comment can hold.
+func NewUntagged(text string, number int, wait float64, group int) Statement {
 	return Statement{Text: text, ID: "," + strconv.Itoa(number), Wait: wait, Group: group, plain: true}
 }
 
-// Tagged tells whether a statement begins with a comment that is meant as ours, well formed or not.
-func Tagged(text string) bool {
+// IsTagged tells whether a statement begins with a comment that is meant as ours, well formed or not.
+func IsTagged(text string) bool {
 	end := strings.Index(text, "*/")
 	if !strings.HasPrefix(text, "/*") || end < 2 {
 		return false
@@ -89,13 +89,13 @@
 				return s, fmt.Errorf("malformed cluster")
 			}
 		case "r":
-			s.Again = trimmed == "1"
+			s.IsRetry = trimmed == "1"
 		case "after":
 			ms, err := strconv.ParseFloat(trimmed, 64)
 			if err != nil || math.IsNaN(ms) || math.IsInf(ms, 0) || ms < 0 {
 				return s, fmt.Errorf("malformed after")
 			}
-			s.Wrote = ms / 1000
+			s.MinPosition = ms / 1000
 		}
 		at += stop + 1
 	}
--- a/proxy/classes.go
+++ b/proxy/classes.go
@@ -71,7 +71,7 @@
 		c.scratch = shape.NewScratch(old)
 	}
 	h := &held{client: c}
-	tagged := pgwire.Tagged(text)
+	tagged := pgwire.IsTagged(text)
 	if tagged {
 		st, err := pgwire.ParseStatement(text)
 		if _, ok := core.terms.Types[st.Type]; err != nil || !ok {
@@ -129,7 +129,7 @@
 		if h.client.timeout > 0 {
 			wait = min(wait, h.client.timeout)
 		}
-		h.st = pgwire.Plain(text, k.number, wait, class.Group)
+		h.st = pgwire.NewUntagged(text, k.number, wait, class.Group)
 		h.class = &class
 	}
 	if h.class != nil {
--- a/proxy/clients.go
+++ b/proxy/clients.go
@@ -249,7 +249,7 @@
 		default:
 			c.nc.SetReadDeadline(from)
 		}
-		if !c.large && c.buf.Large() {
+		if !c.large && c.buf.IsPartialLarge() {
 			select {
 			case c.hub.large <- struct{}{}:
 				c.large = true
@@ -290,11 +290,11 @@
 			if c.rest() != nil {
 				return false
 			}
-		case code == pgwire.SSL || code == pgwire.GSSEncode:
+		case code == pgwire.SSLRequest || code == pgwire.GSSEncRequest:
 			if !c.write([]byte("N")) {
 				return false
 			}
-		case code == pgwire.Cancel:
+		case code == pgwire.CancelRequest:
 			return false
 		case code>>16 != pgwire.Version3>>16:
 			c.fatal("0A000", "only version 3 of the protocol is served")
@@ -345,7 +345,7 @@
 	core := c.hub.core
 	for {
 		c.nc.SetReadDeadline(time.Time{})
-		if c.buf.Crowded() {
+		if c.buf.IsFull() {
 			return c.write(<-c.answers)
 		}
 		select {
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -179,8 +179,8 @@
 		Type:      c.typeOf(h),
 		Deadline:  at + h.st.Wait,
 		Session:   session(h.st.Key),
-		LastWrite: h.st.Wrote,
-		IsRetry:   h.st.Again,
+		LastWrite: h.st.MinPosition,
+		IsRetry:   h.st.IsRetry,
 	}
 	if h.class != nil {
 		x.Cost = h.class.Cost
--- a/proxy/node.go
+++ b/proxy/node.go
@@ -102,7 +102,7 @@
 		return
 	}
 	l := &link{node: n, next: make(chan *job, 1), addr: n.addr}
-	l.buf.Most = pgwire.MaxReply
+	l.buf.MaxLength = pgwire.MaxReply
 	l.ctx, l.cancel = context.WithCancel(n.core.life)
 	j.link = l
 	n.core.tasks.Go(func() error {
@@ -290,7 +290,7 @@
 	out = nil // it may be large
 	r := &reply{greeted: l.greeted, longest: j.longest}
 	r.report.Load = -1
-	l.buf.Most = max(pgwire.MaxReply, j.longest)
+	l.buf.MaxLength = max(pgwire.MaxReply, j.longest)
 	err := l.read(r)
 	l.greeted = r.greeted
 	if err != nil || r.fatal || l.ctx.Err() != nil {
@@ -357,7 +357,7 @@
 			return err
 		}
 		if !ok {
-			if t := l.buf.Begun(); t != 0 && !strings.ContainsRune("RKNSETDCZI", rune(t)) {
+			if t := l.buf.PartialType(); t != 0 && !strings.ContainsRune("RKNSETDCZI", rune(t)) {
 				return errReply
 			}
 			if err := l.buf.Fill(l.nc); err != nil {
@@ -383,14 +383,14 @@
 			r.parameter(name, value)
 		}
 	case 'E':
-		if r.complete || r.code != "" || len(pgwire.Field(m.Body, 'C')) != 5 {
+		if r.complete || r.code != "" || len(pgwire.ErrorField(m.Body, 'C')) != 5 {
 			return false, errReply
 		}
-		r.code = pgwire.Field(m.Body, 'C')
-		r.fatal = pgwire.Field(m.Body, 'S') == "FATAL"
+		r.code = pgwire.ErrorField(m.Body, 'C')
+		r.fatal = pgwire.ErrorField(m.Body, 'S') == "FATAL"
 		return r.fatal, nil
 	case 'T':
-		if !r.greeted || r.columns || pgwire.Columns(m.Body) != 1 {
+		if !r.greeted || r.columns || pgwire.ColumnCount(m.Body) != 1 {
 			return false, errReply
 		}
 		r.columns = true
@@ -437,18 +437,18 @@
 		}
 		return false, nil
 	case 'E':
-		if r.code != "" || len(pgwire.Field(m.Body, 'C')) != 5 {
+		if r.code != "" || len(pgwire.ErrorField(m.Body, 'C')) != 5 {
 			return false, errReply
 		}
-		r.code = pgwire.Field(m.Body, 'C')
-		r.fatal = pgwire.Field(m.Body, 'S') == "FATAL"
+		r.code = pgwire.ErrorField(m.Body, 'C')
+		r.fatal = pgwire.ErrorField(m.Body, 'S') == "FATAL"
 	case 'T':
-		if r.columns || r.code != "" || pgwire.Columns(m.Body) < 0 {
+		if r.columns || r.code != "" || pgwire.ColumnCount(m.Body) < 0 {
 			return false, errReply
 		}
 		r.columns = true
 	case 'D':
-		if !r.columns || r.code != "" || pgwire.Columns(m.Body) < 0 {
+		if !r.columns || r.code != "" || pgwire.ColumnCount(m.Body) < 0 {
 			return false, errReply
 		}
 	case 'C', 'I':
@@ -525,7 +525,7 @@
 
 // outcome names how a job that was written whole ended. Nothing that a spoilt reply says is believed.
 func (r *reply) outcome(err error, calledOff bool) splitter.Outcome {
-	spoilt := errors.Is(err, errReply) || errors.Is(err, pgwire.ErrMessage)
+	spoilt := errors.Is(err, errReply) || errors.Is(err, pgwire.ErrMalformed)
 	if spoilt {
 		r.report = splitter.Report{Load: -1}
 	}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -66,7 +66,7 @@
 	for _, again := range []bool{false, true} {
 		st, err := pgwire.ParseStatement(statement("t-1", "claim", 1000))
 		require.NoError(t, err)
-		st.Again = again
+		st.IsRetry = again
 		require.Equal(t, again, c.txn(&held{st: st}, 0).IsRetry)
 	}
 }
--- a/proxy/standins_test.go
+++ b/proxy/standins_test.go
@@ -346,7 +346,7 @@
 			v, _ := pgwire.Value(m.Body)
 			value = string(v)
 		case 'E':
-			code, detail = pgwire.Field(m.Body, 'C'), pgwire.Field(m.Body, 'D')
+			code, detail = pgwire.ErrorField(m.Body, 'C'), pgwire.ErrorField(m.Body, 'D')
 		}
 		kinds += string(m.Type)
 		if m.Type == 'Z' {
--- a/testserver/client.go
+++ b/testserver/client.go
@@ -67,7 +67,7 @@
 		}
 		switch m.Type {
 		case 'E':
-			a.Code, a.Text = pgwire.Field(m.Body, 'C'), pgwire.Field(m.Body, 'M')
+			a.Code, a.Text = pgwire.ErrorField(m.Body, 'C'), pgwire.ErrorField(m.Body, 'M')
 		case 'D':
 			if v, ok := pgwire.Value(m.Body); ok {
 				a.Value = string(v)
