--- a/pgwire/pgwire.go
+++ b/pgwire/pgwire.go
@@ -1,5 +1,5 @@
-// Package pgwire reads and writes version 3 of PostgreSQL's protocol and the comment that statements carry.
-// It owns no socket and never blocks but in the reader handed to Fill; what is malformed is told as an error,
+// Package pgwire reads and writes version 3 of the PostgreSQL protocol and the comment that statements carry.
+// It owns no socket and blocks only in the reader passed to Fill. Malformed input is reported as an error and
 // never passed on.
 package pgwire
 
@@ -12,16 +12,16 @@
 )
 
 const (
-	// MaxMessage bounds a message: a value of 64 KiB doubles as text, its statement takes some more.
+	// MaxMessage bounds the length of a message: a value of 64 KiB doubles in size as text, and its statement needs some more.
 	MaxMessage = 256 << 10
-	// MaxReply bounds a message of a node: a value of 64 KiB, binary, with what stands around it.
+	// MaxReply bounds the length of a node's message: a binary value of 64 KiB and its framing.
 	MaxReply   = 72 << 10
-	maxStartup = 8 << 10  // a startup message, ample
-	fillAtOnce = 4 << 10  // read at a time at least: most messages are smaller
-	keepAtMost = 16 << 10 // an empty buffer larger than this is given back
+	maxStartup = 8 << 10  // bounds a startup message; real ones are far shorter
+	minBuffer  = 4 << 10  // smallest size of a buffer: most messages are smaller
+	maxKept    = 16 << 10 // an empty buffer larger than this is released
 )
 
-// Codes that stand where a startup message has its version.
+// Codes that a startup message has at the place of the protocol version.
 const (
 	Version3      = 3 << 16
 	CancelRequest = 80877102
@@ -29,32 +29,32 @@
 	GSSEncRequest = 80877104
 )
 
-// ErrMalformed is the error of every malformed message.
+// ErrMalformed is wrapped by the error for every malformed message.
 var ErrMalformed = errors.New("malformed message")
 
-// Message is one message. Its body holds until the buffer is filled again.
+// Message is one protocol message. Its body is valid until the buffer is filled again.
 type Message struct {
 	Type byte
 	Body []byte
 }
 
-// Buffer is the one buffer of a connection: it grows as a message needs and is compacted in place.
+// Buffer is the read buffer of a connection: it grows to the size of the current message and is compacted in place.
 type Buffer struct {
 	b         []byte
 	r, w      int
-	need      int // bytes that the message begun takes in all
-	MaxLength int // what bounds a message, MaxMessage where it is 0
+	need      int // total length of the message that has been received in part
+	MaxLength int // bounds the length of a message; 0 stands for MaxMessage
 
-	startup []byte // the parameters of the startup message, until the buffer is filled again
+	startup []byte // the parameters of the startup message, valid until the buffer is filled again
 }
 
-// Unread tells how many bytes wait to be parsed.
+// Unread returns the number of bytes that haven't been parsed.
 func (b *Buffer) Unread() int { return b.w - b.r }
 
-// IsFull tells that as much waits as a buffer keeps: whoever reads ahead stops here.
-func (b *Buffer) IsFull() bool { return b.w-b.r >= keepAtMost }
+// IsFull reports whether the unread bytes reach the size that a buffer keeps: a caller that reads ahead stops here.
+func (b *Buffer) IsFull() bool { return b.w-b.r >= maxKept }
 
-// PartialType tells the type of the message that has come in part, 0 where there is none.
+// PartialType returns the type of the message at the head of the unread bytes, or 0 if there is none.
 func (b *Buffer) PartialType() byte {
 	if b.Unread() == 0 {
 		return 0
@@ -62,22 +62,22 @@
 	return b.b[b.r]
 }
 
-// IsPartialLarge tells that the message begun takes more room than a buffer keeps.
-func (b *Buffer) IsPartialLarge() bool { return b.need > keepAtMost }
+// IsPartialLarge reports whether the message that has been received in part is larger than what a buffer keeps.
+func (b *Buffer) IsPartialLarge() bool { return b.need > maxKept }
 
-// Fill reads once.
+// Fill reads once from src, after making room for the rest of the current message.
 func (b *Buffer) Fill(src io.Reader) error {
 	if b.r == b.w {
 		b.r, b.w = 0, 0
-		if cap(b.b) > keepAtMost && b.need <= keepAtMost {
+		if cap(b.b) > maxKept && b.need <= maxKept {
 			b.b = nil
 		}
 	}
-	if want := max(b.need, b.w-b.r+fillAtOnce/4); len(b.b)-b.r < want || b.w == len(b.b) {
+	if want := max(b.need, b.w-b.r+minBuffer/4); len(b.b)-b.r < want || b.w == len(b.b) {
 		if len(b.b) >= want && b.r > 0 {
 			b.w = copy(b.b, b.b[b.r:b.w])
 		} else {
-			grown := make([]byte, max(want, fillAtOnce, 2*(b.w-b.r)))
+			grown := make([]byte, max(want, minBuffer, 2*(b.w-b.r)))
 			b.w = copy(grown, b.b[b.r:b.w])
 			b.b = grown
 		}
@@ -86,12 +86,12 @@
 	n, err := src.Read(b.b[b.w:])
 	b.w += n
 	if n > 0 {
-		return nil // an error comes again
+		return nil // the next read returns the error again
 	}
 	return err
 }
 
-// Next takes the next message, if it is whole.
+// Next takes the next message; the second result is false until it has been received whole.
 func (b *Buffer) Next() (Message, bool, error) {
 	if b.Unread() < 5 {
 		b.need = 5
@@ -110,7 +110,7 @@
 	return m, true, nil
 }
 
-// NextStartup takes a startup message, which has no type, and tells its code.
+// NextStartup takes a startup message, which has no type byte, and returns its code.
 func (b *Buffer) NextStartup() (code int, ok bool, err error) {
 	if b.Unread() < 8 {
 		b.need = 8
@@ -130,7 +130,7 @@
 	return code, true, nil
 }
 
-// StartupParameter finds a parameter of the startup message that was just taken; "" where there is none.
+// StartupParameter returns a parameter of the startup message taken last, or "" if it has none of that name.
 func (b *Buffer) StartupParameter(name string) string {
 	for rest := b.startup; len(rest) > 1; {
 		key, after, ok := cutZero(rest)
@@ -149,7 +149,7 @@
 	return ""
 }
 
-// Append adds a message made of parts to dst.
+// Append adds a message to dst whose body is the concatenation of parts.
 func Append(dst []byte, kind byte, parts ...string) []byte {
 	n := 4
 	for _, p := range parts {
@@ -163,7 +163,7 @@
 	return dst
 }
 
-// AppendRaw adds a message with the body it came with.
+// AppendRaw adds a received message unchanged.
 func AppendRaw(dst []byte, m Message) []byte {
 	dst = append(dst, m.Type)
 	dst = binary.BigEndian.AppendUint32(dst, uint32(len(m.Body)+4))
@@ -178,7 +178,7 @@
 	return append(dst, body...)
 }
 
-// AppendGreeting adds what a server says to a startup message it accepts.
+// AppendGreeting adds a server's answer to a startup message that it accepts: AuthenticationOk, the parameters and ReadyForQuery.
 func AppendGreeting(dst []byte) []byte {
 	dst = Append(dst, 'R', "\x00\x00\x00\x00")
 	dst = Append(dst, 'S', "server_version\x0015.0\x00")
@@ -187,13 +187,13 @@
 	return AppendReady(dst)
 }
 
-// AppendReady adds ReadyForQuery.
+// AppendReady adds ReadyForQuery with the status idle.
 func AppendReady(dst []byte) []byte { return Append(dst, 'Z', "I") }
 
 // AppendQuery adds a simple query.
 func AppendQuery(dst []byte, text string) []byte { return Append(dst, 'Q', text, "\x00") }
 
-// AppendError adds an ErrorResponse; a detail of "" is left out.
+// AppendError adds an ErrorResponse; an empty detail is left out.
 func AppendError(dst []byte, severity, code, text, detail string) []byte {
 	parts := []string{"S", severity, "\x00V", severity, "\x00C", code, "\x00M", text, "\x00"}
 	if detail != "" {
@@ -202,7 +202,7 @@
 	return Append(dst, 'E', append(parts, "\x00")...)
 }
 
-// ErrorField finds a field of an ErrorResponse by its letter. In one that is malformed there is none.
+// ErrorField returns the field of an ErrorResponse with the given letter, or "" if it has none or is malformed.
 func ErrorField(body []byte, letter byte) (value string) {
 	for len(body) > 0 && body[0] != 0 {
 		v, rest, ok := cutZero(body[1:])
@@ -215,12 +215,12 @@
 		body = rest
 	}
 	if len(body) != 1 {
-		return "" // it ends with a zero, and nothing stands behind that
+		return "" // the list of fields must end with one zero byte and nothing after it
 	}
 	return value
 }
 
-// Parameter splits a ParameterStatus.
+// Parameter returns the name and the value in the body of a ParameterStatus.
 func Parameter(body []byte) (name, value string, ok bool) {
 	name, rest, ok := cutZero(body)
 	if !ok {
@@ -230,7 +230,7 @@
 	return name, value, ok && len(rest) == 0
 }
 
-// ColumnCount tells how many columns a RowDescription or DataRow has, -1 where it is malformed.
+// ColumnCount returns the number of columns of a RowDescription or DataRow, or -1 if its body is too short.
 func ColumnCount(body []byte) int {
 	if len(body) < 2 {
 		return -1
@@ -238,7 +238,7 @@
 	return int(int16(binary.BigEndian.Uint16(body)))
 }
 
-// Value takes the value of a DataRow of one column; null is not ok.
+// Value returns the value of a DataRow of one column; ok is false for null and for a malformed row.
 func Value(body []byte) (value []byte, ok bool) {
 	if ColumnCount(body) != 1 || len(body) < 6 {
 		return nil, false
@@ -250,6 +250,7 @@
 	return body[6:], true
 }
 
+// cutZero splits b at its first zero byte; the last result is false if there is none.
 func cutZero(b []byte) (string, []byte, bool) {
 	for i, c := range b {
 		if c == 0 {
--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBuffer(t *testing.T) {
+func TestBufferReadsMessagesHoweverTheyAreSplit(t *testing.T) {
 	var stream []byte
 	var want []string
 	for _, n := range []int{0, 3, 5000, 1, 130 << 10, 0, 17} {
@@ -35,11 +35,11 @@
 			}
 		}
 		require.Equal(t, want, got, name)
-		require.LessOrEqual(t, cap(b.b), keepAtMost, "the room of a large message is given back")
+		require.LessOrEqual(t, cap(b.b), maxKept, "the memory of a large message is released")
 	}
 }
 
-func TestBufferRefuses(t *testing.T) {
+func TestBufferRefusesMalformedLengths(t *testing.T) {
 	for _, bad := range []string{"Q\x00\x00\x00\x03", "Q\xff\xff\xff\xff", "Q\x00\x04\x00\x01"} {
 		var b Buffer
 		require.NoError(t, b.Fill(strings.NewReader(bad)))
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestFields(t *testing.T) {
+func TestMalformedFieldsAndValuesAreRejected(t *testing.T) {
 	e := AppendError(nil, "ERROR", "53300", "no", "250")[5:]
 	require.Equal(t, []string{"ERROR", "53300", "250", ""},
 		[]string{ErrorField(e, 'S'), ErrorField(e, 'C'), ErrorField(e, 'D'), ErrorField(e, 'X')})
@@ -82,14 +82,14 @@
 	}
 }
 
-const plain = "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT body FROM objects WHERE oid = '7f3a'"
+const tagged = "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT body FROM objects WHERE oid = '7f3a'"
 
-func TestStatement(t *testing.T) {
-	s, err := ParseStatement(plain)
+func TestStatementIsParsedAndOnlyItsWaitChanges(t *testing.T) {
+	s, err := ParseStatement(tagged)
 	require.NoError(t, err)
 	require.Equal(t, []any{"9b1f", "basket", 0.48, 2, 1767225600.123, "7f3a"},
 		[]any{s.ID, s.Type, s.Wait, s.Group, s.MinPosition, s.Key})
-	require.Equal(t, AppendQuery(nil, strings.Replace(plain, "d=480", "d=97", 1)), s.AppendTo(nil, 0.0963),
+	require.Equal(t, AppendQuery(nil, strings.Replace(tagged, "d=480", "d=97", 1)), s.AppendTo(nil, 0.0963),
 		"only d changes")
 
 	s, err = ParseStatement(`/* id=1,c=order, d=9 ,k=5c,r=1,cluster=0,x=y */ INSERT INTO o VALUES ('a''b', '\x9f; 03') RETURNING b;`)
@@ -98,7 +98,7 @@
 	require.Contains(t, string(s.AppendTo(nil, 0.2)), ", d=200 ,k=5c,r=1,")
 	require.True(t, s.IsRetry, "r=1 marks a retry")
 
-	s, err = ParseStatement(strings.Replace(plain, "c=basket", "c=basket,r=0", 1))
+	s, err = ParseStatement(strings.Replace(tagged, "c=basket", "c=basket,r=0", 1))
 	require.NoError(t, err)
 	require.False(t, s.IsRetry, "any other r does not")
 
@@ -107,7 +107,7 @@
 	require.InDelta(t, float64(longestWait)/1000, s.Wait, 1)
 }
 
-func TestMalformedStatements(t *testing.T) {
+func TestMalformedStatementsAreRejected(t *testing.T) {
 	for _, bad := range []string{"", "SELECT 1", "/* id=1", "/*/ SELECT 1", "/* */ SELECT 1",
 		"/* id=1,c=x,cluster=0 */ SELECT 1", "/* id=1,c=x,d=,cluster=0 */ SELECT 1",
 		"/* id=1,c=x,d=-1,cluster=0 */ SELECT 1",
@@ -123,7 +123,7 @@
 }
 
 func FuzzStatement(f *testing.F) {
-	f.Add(plain)
+	f.Add(tagged)
 	f.Add("/* id=1,c=order,d=9,k=5c,r=1,cluster=0 */ INSERT INTO o VALUES ('a''b', '\\x9f') RETURNING b;")
 	f.Add("/*d=1 ,id= d,c=d=0,cluster=1*/x")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -137,15 +137,15 @@
 		}
 		m, ok, err := b.Next()
 		require.NoError(t, err)
-		require.True(t, ok || len(text) > fillAtOnce-16)
+		require.True(t, ok || len(text) > minBuffer-16)
 		if !ok {
 			return
 		}
-		again, err := ParseStatement(strings.TrimSuffix(string(m.Body), "\x00"))
+		parsed, err := ParseStatement(strings.TrimSuffix(string(m.Body), "\x00"))
 		require.NoError(t, err)
-		require.Equal(t, 0.123, again.Wait)
-		again.Wait, again.Text, again.waitAt, again.waitEnd = s.Wait, s.Text, s.waitAt, s.waitEnd
-		require.Equal(t, s, again, "nothing but d changes")
+		require.Equal(t, 0.123, parsed.Wait)
+		parsed.Wait, parsed.Text, parsed.waitStart, parsed.waitEnd = s.Wait, s.Text, s.waitStart, s.waitEnd
+		require.Equal(t, s, parsed, "nothing but d changes")
 	})
 }
 
@@ -156,7 +156,7 @@
 	f.Add([]byte("Q\x00\x00\x00\x03"), 2)
 	f.Fuzz(func(t *testing.T, stream []byte, step int) {
 		var whole, parts Buffer
-		take := func(b *Buffer, src io.Reader) (out []byte, failed bool) {
+		readAll := func(b *Buffer, src io.Reader) (out []byte, failed bool) {
 			for {
 				m, ok, err := b.Next()
 				if err != nil {
@@ -169,9 +169,9 @@
 				}
 			}
 		}
-		a, failedA := take(&whole, bytes.NewReader(stream))
-		b, failedB := take(&parts, iotest.OneByteReader(bytes.NewReader(stream)))
-		require.Equal(t, a, b, "however the bytes come")
+		a, failedA := readAll(&whole, bytes.NewReader(stream))
+		b, failedB := readAll(&parts, iotest.OneByteReader(bytes.NewReader(stream)))
+		require.Equal(t, a, b, "the size of the reads makes no difference")
 		require.Equal(t, failedA, failedB)
 		require.True(t, bytes.HasPrefix(stream, a))
 		var s Buffer
--- a/pgwire/statement.go
+++ b/pgwire/statement.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// This file owns the form of a statement: a comment of names and values, then one SQL command. It must never
-// change anything in it but the value of d.
+// This file parses and rewrites statements: a comment of names and values, then one SQL command. Only the value
+// of d in the comment may ever change.
 
-// Statement is a client's statement with what its comment says.
+// Statement is a client's statement and the values of its comment.
 type Statement struct {
 	Text        string
 	ID          string
-	Type        string  // the txn type's name
-	Wait        float64 // s the client waits for the answer
+	Type        string  // name of the transaction type
+	Wait        float64 // seconds that the client waits for the answer
 	Group       int
-	MinPosition float64 // s, the position that the read must see; 0: none
-	IsRetry     bool    // the client marks it as a retry
-	Key         string  // the first quoted value, which names the session where there are any
-	plain       bool    // it has no comment: it passes on as it came
-	waitAt      int     // where the value of d stands
+	MinPosition float64 // position in seconds that the read must see; 0: none
+	IsRetry     bool    // whether the client marks it as a retry
+	Key         string  // first quoted value of the command; it names the session where there are sessions
+	isUntagged  bool    // it has no comment of ours and is forwarded unchanged
+	waitStart   int     // offsets in Text at which the value of d starts and ends
 	waitEnd     int
 }
 
-// longestWait bounds d, in ms, so that no arithmetic on it runs over.
+// longestWait bounds d, in ms, so that arithmetic on it can't overflow.
 const longestWait = 1 << 40
 
-// NewUntagged is a statement without our comment, under an id that no comment can hold.
+// NewUntagged returns a statement without our comment. Its id starts with a comma, so it can't equal an id from a comment.
 func NewUntagged(text string, number int, wait float64, group int) Statement {
-	return Statement{Text: text, ID: "," + strconv.Itoa(number), Wait: wait, Group: group, plain: true}
+	return Statement{Text: text, ID: "," + strconv.Itoa(number), Wait: wait, Group: group, isUntagged: true}
 }
 
-// IsTagged tells whether a statement begins with a comment that is meant as ours, well formed or not.
+// IsTagged reports whether a statement begins with a comment that has the names id and c, well formed or not.
 func IsTagged(text string) bool {
 	end := strings.Index(text, "*/")
 	if !strings.HasPrefix(text, "/*") || end < 2 {
@@ -47,7 +47,7 @@
 	return names["id"] && names["c"]
 }
 
-// ParseStatement reads a statement; of a malformed one it says what is wrong.
+// ParseStatement parses a statement with its comment; the error says what is malformed.
 func ParseStatement(text string) (s Statement, err error) {
 	s = Statement{Text: text, Group: -1, Wait: -1}
 	if !strings.HasPrefix(text, "/*") {
@@ -82,8 +82,8 @@
 				return s, fmt.Errorf("malformed d")
 			}
 			s.Wait = min(ms, longestWait) / 1000
-			s.waitAt = from + strings.Index(value, trimmed)
-			s.waitEnd = s.waitAt + len(trimmed)
+			s.waitStart = from + strings.Index(value, trimmed)
+			s.waitEnd = s.waitStart + len(trimmed)
 		case "cluster":
 			if s.Group, err = strconv.Atoi(trimmed); err != nil || s.Group < 0 {
 				return s, fmt.Errorf("malformed cluster")
@@ -102,46 +102,46 @@
 	if s.ID == "" || s.Type == "" || s.Wait <= 0 || s.Group < 0 {
 		return s, fmt.Errorf("the comment lacks id, c, d or cluster")
 	}
-	return s, s.command(text[end+2:])
+	return s, s.parseCommand(text[end+2:])
 }
 
-// command finds the first quoted value, and sees to it that the command is there and is the only one.
-func (s *Statement) command(sql string) error {
-	quoted, ended, any, first := false, false, false, -1
+// parseCommand sets Key to the first quoted value and checks that sql holds exactly one command.
+func (s *Statement) parseCommand(sql string) error {
+	isQuoted, hasEnded, isPresent, first := false, false, false, -1
 	for i := 0; i < len(sql); i++ {
 		switch c := sql[i]; {
 		case c == 0:
 			return fmt.Errorf("a zero byte in the command")
 		case c == '\'':
-			if ended {
+			if hasEnded {
 				return fmt.Errorf("more than one command")
 			}
-			quoted, any = !quoted, true
+			isQuoted, isPresent = !isQuoted, true
 			if first < 0 {
 				first = i + 1
-			} else if s.Key == "" && !quoted {
+			} else if s.Key == "" && !isQuoted {
 				s.Key = sql[first:i]
 			}
-		case quoted || c == ' ' || c == '\t' || c == '\n' || c == '\r':
+		case isQuoted || c == ' ' || c == '\t' || c == '\n' || c == '\r':
 		case c == ';':
-			ended = true
-		case ended:
+			hasEnded = true
+		case hasEnded:
 			return fmt.Errorf("more than one command")
 		default:
-			any = true
+			isPresent = true
 		}
 	}
-	if !any || quoted {
+	if !isPresent || isQuoted {
 		return fmt.Errorf("no whole command")
 	}
 	return nil
 }
 
-// AppendTo adds the statement as a query that says how long, in s, it is waited for.
+// AppendTo adds the statement to dst as a simple query, with wait (in seconds) as its value of d.
 func (s *Statement) AppendTo(dst []byte, wait float64) []byte {
-	if s.plain {
+	if s.isUntagged {
 		return AppendQuery(dst, s.Text)
 	}
 	ms := strconv.FormatInt(int64(max(1, math.Ceil(wait*1000))), 10)
-	return Append(dst, 'Q', s.Text[:s.waitAt], ms, s.Text[s.waitEnd:], "\x00")
+	return Append(dst, 'Q', s.Text[:s.waitStart], ms, s.Text[s.waitEnd:], "\x00")
 }
