--- a/simwire/host.go
+++ b/simwire/host.go
@@ -10,40 +10,40 @@
 	"eiderway/terms"
 )
 
-// held is a txn the router has taken, or one whose submissions have not all ended.
-type held struct {
-	id    string
-	txn   int
-	tries int
-	out   map[int]func(splitter.Result)
-	over  bool
+// transaction is a transaction that the router is handling, or one with submissions that have not ended.
+type transaction struct {
+	id         string
+	slot       int
+	tries      int
+	pending    map[int]func(splitter.Result)
+	isFinished bool
 }
 
-// host is one router with what its wire names stand for.
+// host runs one router and maps the names on the wire to the router's numbers.
 type host struct {
 	s      *server
 	name   string
 	router *splitter.Router
 	terms  *terms.Terms
 
-	txns   map[string]*held // emptied as a txn is over and its last submission ends
-	slots  []*held
-	free   []int
-	nodes  map[string]int
-	names  []string
-	unused []int // indices of forgotten nodes
-	probes map[int][]func(splitter.Report)
-	timers map[int]func()
-	mark   int
+	byName       map[string]*transaction // by name on the wire; an entry goes once it is finished and its last submission has ended
+	transactions []*transaction
+	freeSlots    []int
+	nodeIndices  map[string]int
+	nodeNames    []string
+	freeIndices  []int // indices of forgotten nodes, for reuse
+	probes       map[int][]func(splitter.Report)
+	timers       map[int]func()
+	lastMark     int
 }
 
 func newHost(s *server, name string) *host {
-	return &host{s: s, name: name, txns: map[string]*held{}, nodes: map[string]int{},
+	return &host{s: s, name: name, byName: map[string]*transaction{}, nodeIndices: map[string]int{},
 		probes: map[int][]func(splitter.Report){},
 		timers: map[int]func(){}}
 }
 
-// action holds the fields of every action; those that are not set stay off the wire.
+// action holds the fields of all kinds of actions; fields that are not set are left out on the wire.
 type action struct {
 	Router string   `json:"router"`
 	Txn    string   `json:"txn,omitempty"`
@@ -57,7 +57,7 @@
 	Reason string   `json:"reasonText,omitempty"`
 }
 
-func (h *host) act(kind string, a action) {
+func (h *host) writeAction(kind string, a action) {
 	a.Router = h.name
 	b, err := json.Marshal(&a)
 	if err != nil {
@@ -76,41 +76,41 @@
 	return nil
 }
 
-func (h *host) node(name string) int {
-	n, ok := h.nodes[name]
+func (h *host) nodeIndex(name string) int {
+	n, ok := h.nodeIndices[name]
 	if ok {
 		return n
 	}
-	if k := len(h.unused); k > 0 {
-		n, h.unused = h.unused[k-1], h.unused[:k-1]
-		h.names[n] = name
+	if k := len(h.freeIndices); k > 0 {
+		n, h.freeIndices = h.freeIndices[k-1], h.freeIndices[:k-1]
+		h.nodeNames[n] = name
 	} else {
-		n = len(h.names)
-		h.names = append(h.names, name)
+		n = len(h.nodeNames)
+		h.nodeNames = append(h.nodeNames, name)
 	}
-	h.nodes[name] = n
+	h.nodeIndices[name] = n
 	return n
 }
 
-// take hands an event to its handler; a panic in the decisions is reported on the wire.
-func (h *host) take(ev *event, handle func(*host, *event)) {
+// dispatch passes an event to its handler and reports a panic in the router's logic on the wire.
+func (h *host) dispatch(ev *event, handle func(*host, *event)) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.act("fault", action{Reason: fmt.Sprintf("%v: %s", p, debug.Stack())})
+			h.writeAction("fault", action{Reason: fmt.Sprintf("%v: %s", p, debug.Stack())})
 		}
 	}()
 	handle(h, ev)
 }
 
-func (h *host) ring(ev *event) {
+func (h *host) fireTimer(ev *event) {
 	if then := h.timers[ev.Mark]; then != nil {
 		delete(h.timers, ev.Mark)
 		then()
 	}
 }
 
-func (h *host) checked(ev *event) {
-	n, ok := h.nodes[ev.Node]
+func (h *host) handleProbeResult(ev *event) {
+	n, ok := h.nodeIndices[ev.Node]
 	if q := h.probes[n]; ok && len(q) > 0 {
 		h.probes[n] = q[1:]
 		r := h.report(ev.Usage)
@@ -119,15 +119,15 @@
 	}
 }
 
-func (h *host) headers(ev *event) {
-	if t := h.txns[ev.Txn]; t != nil && !t.over {
-		h.router.AnswerStarted(t.txn)
+func (h *host) handleAnswerStart(ev *event) {
+	if t := h.byName[ev.Txn]; t != nil && !t.isFinished {
+		h.router.AnswerStarted(t.slot)
 	}
 }
 
-func (h *host) gone(ev *event) {
-	if t := h.txns[ev.Txn]; t != nil && !t.over {
-		h.router.ClientGone(t.txn)
+func (h *host) handleClientGone(ev *event) {
+	if t := h.byName[ev.Txn]; t != nil && !t.isFinished {
+		h.router.ClientGone(t.slot)
 		h.finish(t)
 	}
 }
@@ -137,7 +137,7 @@
 
 var states = map[string]splitter.State{"on": splitter.On, "fading": splitter.Draining}
 
-func (h *host) members(ev *event) {
+func (h *host) handleMembers(ev *event) {
 	kind, ok := listKinds[ev.Kind]
 	if !ok {
 		h.router.UpdateMembers(splitter.ListRefused, nil)
@@ -149,13 +149,13 @@
 		if e.Node == "" {
 			continue
 		}
-		state, there := states[e.Lifecycle]
-		if _, known := h.nodes[e.Node]; !known && !there {
+		state, isListed := states[e.Lifecycle]
+		if _, isKnown := h.nodeIndices[e.Node]; !isKnown && !isListed {
 			continue
 		}
-		m := splitter.Member{Node: h.node(e.Node), Name: e.Node, Group: -1, Zone: h.terms.Zone(e.Site),
+		m := splitter.Member{Node: h.nodeIndex(e.Node), Name: e.Node, Group: -1, Zone: h.terms.Zone(e.Site),
 			State: splitter.Gone, Primary: e.Head == 1, StartedAt: e.Born / 1000}
-		if there {
+		if isListed {
 			m.State = state
 		}
 		if e.Set != nil {
@@ -166,17 +166,17 @@
 	h.router.UpdateMembers(kind, list)
 }
 
-func (h *host) ingress(ev *event) {
-	t := &held{id: ev.Txn, out: map[int]func(splitter.Result){}}
-	if k := len(h.free); k > 0 {
-		t.txn, h.free = h.free[k-1], h.free[:k-1]
-		h.slots[t.txn] = t
+func (h *host) handleArrival(ev *event) {
+	t := &transaction{id: ev.Txn, pending: map[int]func(splitter.Result){}}
+	if k := len(h.freeSlots); k > 0 {
+		t.slot, h.freeSlots = h.freeSlots[k-1], h.freeSlots[:k-1]
+		h.transactions[t.slot] = t
 	} else {
-		t.txn = len(h.slots)
-		h.slots = append(h.slots, t)
+		t.slot = len(h.transactions)
+		h.transactions = append(h.transactions, t)
 	}
-	h.txns[ev.Txn] = t
-	x := splitter.Txn{ID: t.txn, Group: ev.ClusterNo, Deadline: ev.ValidUntil / 1000,
+	h.byName[ev.Txn] = t
+	x := splitter.Txn{ID: t.slot, Group: ev.ClusterNo, Deadline: ev.ValidUntil / 1000,
 		Session: ev.Sess, IsRetry: ev.Resent}
 	x.Type = h.terms.Unnamed
 	if k, ok := h.terms.Types[ev.Class]; ok {
@@ -192,17 +192,17 @@
 	253: splitter.TimedOut, 252: splitter.NoConn, 251: splitter.Broken, 250: splitter.Cancelled,
 	249: splitter.Unsent, 1: splitter.Missed}
 
-func (h *host) ended(ev *event) {
-	t := h.txns[ev.Txn]
+func (h *host) handleAttemptEnd(ev *event) {
+	t := h.byName[ev.Txn]
 	if t == nil {
 		return
 	}
-	then := t.out[ev.Try]
-	delete(t.out, ev.Try)
+	then := t.pending[ev.Try]
+	delete(t.pending, ev.Try)
 	if then == nil {
 		return
 	}
-	res := splitter.Result{Outcome: outcomes[ev.Reason], Latency: ev.Lag / 1000, Ended: ev.Final || t.over,
+	res := splitter.Result{Outcome: outcomes[ev.Reason], Latency: ev.Lag / 1000, Ended: ev.Final || t.isFinished,
 		Report: h.report(ev.Usage)}
 	switch ev.Reason {
 	case 0, 1, 254, 255:
@@ -243,45 +243,45 @@
 	return r
 }
 
-func (h *host) finish(t *held) {
-	t.over = true
+func (h *host) finish(t *transaction) {
+	t.isFinished = true
 	h.release(t)
 }
 
-func (h *host) release(t *held) {
-	if t.over && len(t.out) == 0 && h.slots[t.txn] == t {
-		h.slots[t.txn] = nil
-		h.free = append(h.free, t.txn)
-		delete(h.txns, t.id)
+func (h *host) release(t *transaction) {
+	if t.isFinished && len(t.pending) == 0 && h.transactions[t.slot] == t {
+		h.transactions[t.slot] = nil
+		h.freeSlots = append(h.freeSlots, t.slot)
+		delete(h.byName, t.id)
 	}
 }
 
-// Now, Submit and the rest are the splitter's Host.
+// Now and the methods below implement splitter.Host.
 func (h *host) Now() float64 { return h.s.now }
 
 func (h *host) Submit(txn, node int, until float64, then func(splitter.Result)) {
-	t := h.slots[txn]
-	t.out[t.tries] = then
+	t := h.transactions[txn]
+	t.pending[t.tries] = then
 	t.tries++
-	h.act("send", action{Txn: t.id, Node: h.names[node], CutAt: until * 1000})
+	h.writeAction("send", action{Txn: t.id, Node: h.nodeNames[node], CutAt: until * 1000})
 }
 
 func (h *host) Cancel(txn int) {
-	if t := h.slots[txn]; t != nil && t.tries > 0 {
+	if t := h.transactions[txn]; t != nil && t.tries > 0 {
 		try := t.tries - 1
-		h.act("abortAttempt", action{Txn: t.id, Try: &try})
+		h.writeAction("abortAttempt", action{Txn: t.id, Try: &try})
 	}
 }
 
 func (h *host) Decline(txn int, pause float64) {
-	t := h.slots[txn]
-	h.act("shed", action{Txn: t.id, Pause: math.Round(pause * 1000)})
+	t := h.transactions[txn]
+	h.writeAction("shed", action{Txn: t.id, Pause: math.Round(pause * 1000)})
 	h.finish(t)
 }
 
 func (h *host) RollBack(txn int) {
-	t := h.slots[txn]
-	h.act("abort", action{Txn: t.id})
+	t := h.transactions[txn]
+	h.writeAction("abort", action{Txn: t.id})
 	h.finish(t)
 }
 
@@ -291,24 +291,24 @@
 
 func (h *host) Probe(node int, _ splitter.Cause, then func(splitter.Report)) {
 	h.probes[node] = append(h.probes[node], then)
-	h.act("poll", action{Node: h.names[node]})
+	h.writeAction("poll", action{Node: h.nodeNames[node]})
 }
 
 func (h *host) After(at float64, then func()) {
-	h.mark++
-	h.timers[h.mark] = then
+	h.lastMark++
+	h.timers[h.lastMark] = then
 	at *= 1000
-	h.act("after", action{At: &at, Mark: h.mark})
+	h.writeAction("after", action{At: &at, Mark: h.lastMark})
 }
 
-func (h *host) CloseIdle(node int) { h.act("closeIdle", action{Node: h.names[node]}) }
+func (h *host) CloseIdle(node int) { h.writeAction("closeIdle", action{Node: h.nodeNames[node]}) }
 
 func (h *host) Forget(node int) {
-	delete(h.nodes, h.names[node])
+	delete(h.nodeIndices, h.nodeNames[node])
 	delete(h.probes, node)
-	h.unused = append(h.unused, node)
+	h.freeIndices = append(h.freeIndices, node)
 }
 
-func (h *host) Watch() { h.act("tail", action{On: true}) }
+func (h *host) Watch() { h.writeAction("tail", action{On: true}) }
 
-func (h *host) Note(text string) { h.act("noteDown", action{Reason: text}) }
+func (h *host) Note(text string) { h.writeAction("noteDown", action{Reason: text}) }
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the simulator's wire for many routers: events become calls of the splitter, and
-// what the splitter does becomes actions. It decides nothing.
+// Package simwire connects many routers to the simulator: it turns the simulator's events into calls of the splitter,
+// and the calls that the splitter makes into actions on the wire. It makes no routing decisions.
 package simwire
 
 import (
@@ -10,12 +10,13 @@
 	"io"
 )
 
-// batch is one line of the wire, decoded in one pass; of an item's fields the one that is there names the event.
+// batch is one line of the wire, decoded in one pass.
 type batch struct {
 	Moment *float64 `json:"moment"`
 	In     []item   `json:"in"`
 }
 
+// item is one event of a batch; the field that is present tells its kind.
 type item struct {
 	Sheet      *event `json:"sheet"`
 	Members    *event `json:"members"`
@@ -29,6 +30,7 @@
 	AttemptEnd *event `json:"attemptEnd"`
 }
 
+// entry is one node in a list of members.
 type entry struct {
 	Head      float64 `json:"head"`
 	Set       *int    `json:"set"`
@@ -38,7 +40,7 @@
 	Site      string  `json:"site"`
 }
 
-// event holds the fields of every event; names on the wire differ from one event to the next.
+// event holds the fields of all kinds of events; each kind has its own names on the wire.
 type event struct {
 	Router     string              `json:"router"`
 	RandomSeed int64               `json:"randomSeed"`
@@ -70,14 +72,14 @@
 	out     bytes.Buffer
 }
 
-// Serve answers batches until the input ends.
+// Serve reads batches of events from r, one a line, and writes the actions for each to w, until the input ends.
 func Serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, 1<<20)
 	s := &server{lists: map[int][]entry{}, routers: map[string]*host{}}
 	for {
 		line, err := in.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
-			if err := s.batch(line); err != nil {
+			if err := s.handleBatch(line); err != nil {
 				return err
 			}
 			if _, err := w.Write(s.out.Bytes()); err != nil {
@@ -93,7 +95,7 @@
 	}
 }
 
-func (s *server) batch(line []byte) error {
+func (s *server) handleBatch(line []byte) error {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
 		return fmt.Errorf("malformed batch: %w", err)
@@ -106,18 +108,18 @@
 	s.out.WriteString(`{"output":[`)
 	empty := s.out.Len()
 	for i := range b.In {
-		if err := s.event(&b.In[i]); err != nil {
+		if err := s.handleItem(&b.In[i]); err != nil {
 			return err
 		}
 	}
 	if s.out.Len() > empty {
-		s.out.Truncate(s.out.Len() - 1) // the last comma
+		s.out.Truncate(s.out.Len() - 1) // drop the last comma
 	}
 	s.out.WriteString("]}\n")
 	return nil
 }
 
-func (s *server) event(it *item) error {
+func (s *server) handleItem(it *item) error {
 	switch {
 	case it.Sheet != nil:
 		s.lists[it.Sheet.List] = it.Sheet.Lines
@@ -134,14 +136,14 @@
 		return nil
 	}
 	for _, e := range []struct {
-		ev   *event
-		take func(*host, *event)
-	}{{it.Ring, (*host).ring}, {it.Ingress, (*host).ingress}, {it.AttemptEnd, (*host).ended},
-		{it.Checked, (*host).checked}, {it.Members, (*host).members}, {it.Gone, (*host).gone},
-		{it.Headers, (*host).headers}} {
+		ev     *event
+		handle func(*host, *event)
+	}{{it.Ring, (*host).fireTimer}, {it.Ingress, (*host).handleArrival}, {it.AttemptEnd, (*host).handleAttemptEnd},
+		{it.Checked, (*host).handleProbeResult}, {it.Members, (*host).handleMembers}, {it.Gone, (*host).handleClientGone},
+		{it.Headers, (*host).handleAnswerStart}} {
 		if e.ev != nil {
 			if h := s.routers[e.ev.Router]; h != nil {
-				h.take(e.ev, e.take)
+				h.dispatch(e.ev, e.handle)
 			}
 		}
 	}
