--- a/peerstate/peerstate_test.go
+++ b/peerstate/peerstate_test.go
@@ -239,7 +239,7 @@
 	scenario.Each(t, func(t *testing.T, path string) {
 		s := &scenarioRunner{t: t, now: 1e9, names: map[string]int{}, submissions: map[string]int{}}
 		for _, line := range scenario.MustRead(t, path) {
-			s.place = line.Place
+			s.place = line.Location
 			s.runLine(line.Words)
 		}
 	})
