--- a/control/failover/choose.go
+++ b/control/failover/choose.go
@@ -151,7 +151,7 @@
 func (s *service) logStall(now time.Duration, missing []string) {
 	if !s.stallLogged && now-s.roundStartedAt >= statusMaxAge {
 		s.stallLogged = true
-		s.addEvent("waiting", "nobody is shown to hold every acknowledged commit; these may hold more: %s", strings.Join(missing, " "))
+		s.addEvent("waiting", "nobody is shown to hold every acknowledged commit; open: %s", strings.Join(missing, " "))
 	}
 }
 
