--- a/zone/api.go
+++ b/zone/api.go
@@ -17,9 +17,9 @@
 // All is the receiver that stands for every other router.
 const All = -1
 
-// Config are what a Book is told at start.
+// Config is what a Monitor is told at start.
 type Config struct {
-	Me, Routers int
+	Me, Routers int               // index of this router, and the number of all routers
 	Zone        string            // zone of this router
 	Life        uint32            // identifies this start of the process; differs from that of every earlier start
 	Every       float64           // s between the holder's words; 0: there is no holder
@@ -68,12 +68,12 @@
 type Event struct {
 	Kind            Kind
 	Zone            string
-	Share           float64 // share of the routers that use the zone
-	Bad, Late, Good int     // recent outcomes, at all routers
-	Voices          int     // routers with bad or late outcomes
-	Else            float64 // share of bad or late outcomes in other regions
-	Told            bool    // taken because the holder's word said so
-	Hand            Override
+	Share           float64  // share of the routers that use the zone
+	Bad, Late, Good int      // recent outcomes, at all routers
+	Voices          int      // routers with bad or late outcomes
+	Else            float64  // share of bad or late outcomes in other regions
+	Told            bool     // taken because the holder's word said so
+	Hand            Override // order that stands
 }
 
 // Effects are what the host has to do.
@@ -87,9 +87,9 @@
 
 // Counts are the counters of a Monitor.
 type Counts struct {
-	Tells, Bytes, Taken, Spoilt, Old int64
-	Leaves, Returns, Words, Wishes   int64
-	Looks                            int64
+	Tells, Bytes, Taken, Spoilt, Old int64 // datagrams sent, their bytes; received: valid, malformed, delayed or overtaken
+	Leaves, Returns, Words, Wishes   int64 // zones left and fully returned to, words made, order requests sent to the holder
+	Looks                            int64 // probes asked for
 }
 
 // State is a zone as this router sees it.
@@ -102,7 +102,7 @@
 	Late   int     `json:"late"`
 	Good   int     `json:"good"`
 	Voices int     `json:"voices"`
-	Flaps  int     `json:"flaps"`
+	Flaps  int     `json:"flaps"` // recent failed returns
 	Hand   string  `json:"hand"`
 	Number uint64  `json:"number"` // number of the newest order
 	Told   bool    `json:"told"`   // left by the holder's word rather than by this router's own decision
--- a/zone/steps.go
+++ b/zone/steps.go
@@ -11,7 +11,7 @@
 }
 
 // evaluate takes the next step of a zone if one is due. A router that sees a zone fail leaves it at once. The return is paced
-// by the holder if its word had the zone left, and else by this router's own sums.
+// by the holder if its word had the zone left, and else by this router's own evidence.
 func (m *Monitor) evaluate(z *zone, now float64) {
 	if z.override != Auto {
 		return
--- a/zone/zone.go
+++ b/zone/zone.go
@@ -86,7 +86,7 @@
 
 // usual is the usual latency of a zone for one txn type.
 type usual struct {
-	n    int
+	n    int // answers so far, up to learnCount
 	mean float64
 	at   float64 // when the last of the first answers came
 }
