--- a/control/failover/world_test.go
+++ b/control/failover/world_test.go
@@ -14,7 +14,7 @@
 // All events are in one queue in simulated time; the same seed gives the same history.
 type world struct {
 	now     time.Duration
-	agenda  virtualtime.Agenda
+	agenda  virtualtime.EventQueue
 	random  *rand.Rand
 	options options
 
--- a/splitter/scenario_test.go
+++ b/splitter/scenario_test.go
@@ -289,7 +289,7 @@
 		h := &fakeHost{t: t, now: 1000, reports: map[string][]string{}, results: map[int]func(Result){},
 			sentAt: map[int]float64{}, allowed: map[int]float64{}, ended: map[int]bool{}}
 		for _, line := range scenario.MustRead(t, path) {
-			h.place = line.Place
+			h.place = line.Location
 			h.runLine(line.Words)
 		}
 	})
--- /dev/null
+++ b/testinstance/fault.go
@@ -0,0 +1,127 @@
+package testinstance
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/rotisserie/eris"
+)
+
+// Faults sets the rates of random faults of a service's instances.
+type Faults struct {
+	LoseAnswers  float64       // share of the clients' statements whose answer is lost after the execution
+	LoseAcks     float64       // share of the controllers' acknowledgements that an instance never sees
+	LateShare    float64       // share of the calls to controllers that are sent a second time, late
+	MaxLateDelay time.Duration // the longest delay of the second call
+}
+
+// SetFaults replaces the faults.
+func (s *Service) SetFaults(faults Faults) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.faults = faults
+}
+
+func (s *Service) currentFaults() Faults {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.faults
+}
+
+// occurs decides at random whether a fault of this rate occurs now.
+func occurs(share float64) bool { return share > 0 && rand.Float64() < share }
+
+// CutCaller cuts a caller off from all instances, or reconnects it. What it sends meanwhile is lost. The name is that of the
+// process, or else the user of its CONNECT.
+func (s *Service) CutCaller(name string, cut bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.cutCallers[name] = cut
+	s.notifyChange()
+}
+
+// awaitUncut returns true if the caller isn't cut off. Otherwise it waits until the caller is reconnected, and returns false,
+// since what was sent meanwhile is lost.
+func (c *connection) awaitUncut() bool {
+	wasCut := false
+	for c.ctx.Err() == nil {
+		service := c.instance.service
+		service.mutex.Lock()
+		isCut := service.cutCallers[c.caller]
+		changed := service.changed
+		service.mutex.Unlock()
+		if !isCut {
+			return !wasCut
+		}
+		wasCut = true
+		select {
+		case <-c.ctx.Done():
+		case <-changed:
+		}
+	}
+	return false
+}
+
+// CutController makes a controller unreachable for all instances, or reachable again.
+func (s *Service) CutController(address string, cut bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.cutControllers[address] = cut
+}
+
+var errCutOff = eris.New("the controller can't be reached")
+
+// checkReachable returns an error, after the time of a call that isn't answered, if the controller is cut off.
+func (c *controllerClient) checkReachable(ctx context.Context, address string) error {
+	service := c.instance.service
+	service.mutex.Lock()
+	isCut := service.cutControllers[address]
+	service.mutex.Unlock()
+	if !isCut {
+		return nil
+	}
+	sleep(ctx, callTimeout)
+	return errCutOff
+}
+
+// sendDuplicateLate sends some calls a second time, later, as if the network had delayed and duplicated them.
+func (c *controllerClient) sendDuplicateLate(ctx context.Context, target, action string, body any) {
+	faults := c.instance.service.currentFaults()
+	if !occurs(faults.LateShare) {
+		return
+	}
+	late := newControllerClient(c.instance)
+	c.instance.service.running.Go(func() {
+		defer late.client.CloseIdleConnections()
+		if sleep(context.WithoutCancel(ctx), rand.N(faults.MaxLateDelay)) {
+			_, _ = late.post(context.WithoutCancel(ctx), target, action, body)
+		}
+	})
+}
+
+// HasLeft reports whether the instance has left for good.
+func (i *Instance) HasLeft() bool {
+	i.service.mutex.Lock()
+	defer i.service.mutex.Unlock()
+	return i.left
+}
+
+// StartSuccessor starts a replica with the address and the log of an instance that has left.
+func (s *Service) StartSuccessor(gone *Instance, id string) (*Instance, error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !gone.left {
+		return nil, eris.Errorf("%s has not left", gone.id)
+	}
+	added := &Instance{
+		service: s, id: id, address: gone.address, zone: gone.zone, beatRequests: make(chan struct{}, 1),
+		log: gone.log, term: gone.term, termHeld: gone.termHeld,
+	}
+	if err := added.begin(); err != nil {
+		return nil, err
+	}
+	s.instances = append(s.instances, added)
+	s.note("%s takes the place of %s", id, gone.id)
+	return added, nil
+}
