--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -35,10 +35,10 @@
 )
 
 // ordinary is a node: 50 statements a second, half of which it has to do.
-var ordinary = model.Terms{Cores: 3, Work: 0.06, Handshake: 0.004, Lag: 0.03}
+var ordinary = model.Config{Cores: 3, MeanWork: 0.06, Handshake: 0.004, Lag: 0.03}
 
 // falling is one that a crowd slows, that starts cold, and falls over when pushed.
-var falling = model.Terms{Cores: 3, Work: 0.06, Handshake: 0.004, Lag: 0.03, Crowd: 0.01, Cold: 0.2, Warm: 5, Falls: 2, Down: 1, Crowded: 0.02}
+var falling = model.Config{Cores: 3, MeanWork: 0.06, Handshake: 0.004, Lag: 0.03, CrowdPenalty: 0.01, ColdSpeed: 0.2, WarmUp: 5, CrashBacklog: 2, Downtime: 1, LagGrowth: 0.02}
 
 // Way is what of the peers' words reaches the module.
 type Way struct {
@@ -159,7 +159,7 @@
 	return out
 }
 
-func (f *Fleet) add(name string, group, zone int, t model.Terms) *server {
+func (f *Fleet) add(name string, group, zone int, t model.Config) *server {
 	s := &server{Node: model.New(t, f, f.rng.Int63()), name: name, group: group, zone: zone}
 	f.servers = append(f.servers, s)
 	return s
@@ -198,15 +198,15 @@
 
 // begin sets the day's course, and tells how long it lasts.
 func (f *Fleet) begin(d Day) float64 {
-	ill := map[Day]model.Ill{ZoneFails: {Fails: 1}, ZoneLoses: {Loses: 0.5}, ZoneSlow: {Slower: 0.3}, ZoneHangs: {Hangs: true}}
+	ill := map[Day]model.Impairment{ZoneFails: {ErrorShare: 1}, ZoneLoses: {LostAnswerShare: 0.5}, ZoneSlow: {ExtraLatency: 0.3}, ZoneHangs: {Hangs: true}}
 	switch d {
 	case Hang:
-		f.At(start+hangs, func() { f.servers[2].Set(model.Ill{Hangs: true}) })
+		f.At(start+hangs, func() { f.servers[2].SetImpairment(model.Impairment{Hangs: true}) })
 	case Lag:
 		f.At(start+warm/2, func() {
 			for _, s := range f.servers {
 				if !s.Primary {
-					s.Set(model.Ill{Stands: true})
+					s.SetImpairment(model.Impairment{ReplicationStalled: true})
 				}
 			}
 		})
@@ -216,8 +216,8 @@
 	case ZoneCold:
 		f.At(start+hangs, func() { f.zoneC(func(s *server) { s.Crash(coldFor) }) })
 	default:
-		f.At(start+hangs, func() { f.zoneC(func(s *server) { s.Set(ill[d]) }) })
-		f.At(start+hangs+zoneIll, func() { f.zoneC(func(s *server) { s.Set(model.Ill{}) }) })
+		f.At(start+hangs, func() { f.zoneC(func(s *server) { s.SetImpairment(ill[d]) }) })
+		f.At(start+hangs+zoneIll, func() { f.zoneC(func(s *server) { s.SetImpairment(model.Impairment{}) }) })
 	}
 	if d < ZoneFails {
 		return start + lasts
@@ -255,7 +255,7 @@
 	}
 	for g := range groups {
 		for i := range replicas + 1 {
-			f.add(fmt.Sprintf("s-%d-%d", g, i), g, i%len(zones), terms).Lead(i == 0)
+			f.add(fmt.Sprintf("s-%d-%d", g, i), g, i%len(zones), terms).SetPrimary(i == 0)
 		}
 	}
 	var end float64
--- a/fleet/world.go
+++ b/fleet/world.go
@@ -181,7 +181,7 @@
 func (f *Fleet) breaks(x Fault) {
 	w := f.world
 	node := f.servers[x.Node%len(f.servers)]
-	ills := map[string]model.Ill{"hang": {Hangs: true}, "fail": {Fails: cmp.Or(x.Share, 1)}, "lose": {Loses: cmp.Or(x.Share, 0.5)}, "slow": {Slower: 0.3}, "stand": {Stands: true}}
+	ills := map[string]model.Impairment{"hang": {Hangs: true}, "fail": {ErrorShare: cmp.Or(x.Share, 1)}, "lose": {LostAnswerShare: cmp.Or(x.Share, 0.5)}, "slow": {ExtraLatency: 0.3}, "stand": {ReplicationStalled: true}}
 	all := []*server{node}
 	what := x.What
 	if len(what) > 5 && what[:5] == "zone-" {
@@ -201,8 +201,8 @@
 	switch what {
 	case "hang", "fail", "lose", "slow", "stand":
 		for _, s := range all {
-			s.Set(ills[what])
-			heal(func() { s.Set(model.Ill{}) })
+			s.SetImpairment(ills[what])
+			heal(func() { s.SetImpairment(model.Impairment{}) })
 		}
 	case "crash":
 		for _, s := range all {
@@ -217,16 +217,16 @@
 			node.gone = true
 			w.note(judge.Event{Kind: "told", Router: -1, Node: node.name, What: "Gone"})
 			f.add(node.name+"'", node.group, node.zone, falling)
-			f.servers[len(f.servers)-1].Start()
+			f.servers[len(f.servers)-1].Restart()
 			f.listed()
 		}
 	case "promote":
 		for _, s := range f.servers {
 			if s.group == node.group && s != node && !node.gone && node.state == splitter.On {
-				s.Lead(false)
+				s.SetPrimary(false)
 			}
 		}
-		node.Lead(node.Primary || !node.gone && node.state == splitter.On)
+		node.SetPrimary(node.Primary || !node.gone && node.state == splitter.On)
 	case "cut-peers", "cut-nodes":
 		way := x.Zone + ">" + x.To
 		if what == "cut-nodes" {
--- a/model/model.go
+++ b/model/model.go
@@ -1,12 +1,12 @@
-// Package model is the servers of a cluster in virtual time, without I/O: what becomes of a statement at a node, by what the
-// node has to do already. It is written from public descriptions: a node is some cores behind one queue (M/G/c of queueing
-// theory); each client backend beyond the cores costs all of them (PostgreSQL's documentation on max_connections, and its
+// Package model simulates the database servers of a cluster in virtual time, without I/O: what becomes of a statement at a node
+// that is under a given load. It follows public descriptions: a node is a number of cores behind one queue (M/G/c of queueing
+// theory); each client backend beyond the cores slows all of them (PostgreSQL's documentation on max_connections, and its
 // authors on snapshots and scalability); a connection forks a process; a replica applies the log in one process that competes
-// with reads, so it falls behind when crowded; a node that has just started reads from disk what is not in memory yet. Its
-// constants are ours. One seed and one history of calls give one history.
+// with reads, so it falls behind under load; a node that has just started reads from disk what is not in memory yet. The
+// constants are this project's own. The same seed and the same calls give the same history.
 //
-// How to call it: New makes a Node; Run gives it a statement and Probe a question; it asks its Clock to call back. Faults are
-// set by Set; Crash ends all that is out.
+// New makes a Node, Run gives it a statement, and Probe asks for its position and role; the node asks its Clock to call it back.
+// SetImpairment injects faults, and Crash ends all statements that are in flight.
 package model
 
 import (
@@ -15,270 +15,272 @@
 	"slices"
 )
 
-// Clock is the host's virtual time.
+// Clock is virtual time, which the caller keeps.
 type Clock interface {
 	Now() float64
-	At(at float64, do func()) // do runs then, never inside the call
+	At(at float64, do func()) // calls do at that time, never within the call itself
 }
 
-// Terms are a node's. Times are seconds.
-type Terms struct {
-	Cores     int
-	Work      float64 // of a statement, on a core of its own, in the mean
-	Handshake float64 // of a new connection
-	Crowd     float64 // what each statement out beyond twice the cores adds to the work of all, as a share
-	Cold      float64 // share of its speed after a start,
-	Warm      float64 // until it has all
-	Falls     float64 // work that waits, in s, by which it falls over; 0: it does not
-	Down      float64 // for so long
-	Lag       float64 // of a replica at rest
-	Crowded   float64 // s that a replica's lag grows by in a second with all cores busy
+// Config describes a node. All times are in seconds.
+type Config struct {
+	Cores        int
+	MeanWork     float64 // mean time that a statement takes on a core of its own
+	Handshake    float64 // work of a new connection
+	CrowdPenalty float64 // share that each statement in flight beyond twice the cores adds to the work of all
+	ColdSpeed    float64 // share of its full speed that a node has right after a start
+	WarmUp       float64 // time after a start until a node has its full speed
+	CrashBacklog float64 // expected wait of a new statement above which the node crashes; 0: it never does
+	Downtime     float64 // how long a node that crashed in this way is down
+	Lag          float64 // lag of an idle replica
+	LagGrowth    float64 // seconds by which a replica's lag grows per second with all cores busy
 }
 
-// Ill is what is wrong with a node. The zero Ill is nothing.
-type Ill struct {
-	Hangs   bool    // takes all, says nothing
-	Fails   float64 // share of statements that end in an error at once
-	Loses   float64 // share of answers that never come
-	Slower  float64 // s that each answer takes longer
-	Stands  bool    // it applies nothing more, and answers
-	Cut     bool    // nothing reaches it, no way back
-	Refuses bool    // no new connections
+// Impairment is what is wrong with a node. The zero value is a healthy node.
+type Impairment struct {
+	Hangs              bool    // accepts statements and never answers
+	ErrorShare         float64 // share of statements that end in an error at once
+	LostAnswerShare    float64 // share of answers that never arrive
+	ExtraLatency       float64 // seconds by which each answer is delayed
+	ReplicationStalled bool    // applies no more of the log, but answers
+	Unreachable        bool    // nothing reaches the node, and nothing comes back
+	RefusesConnections bool
 }
 
-// Outcome of a statement.
+// Outcome is how a statement ended.
 type Outcome int
 
 const (
-	Done    Outcome = iota // it has run
-	Error                  // it has not, and the node said so
+	Done    Outcome = iota // the statement ran
+	Error                  // it did not run, and the node reported an error
 	Broken                 // the connection is gone; it may have run
-	NoConn                 // never reached it
-	Refused                // the node turned it away: it has not run
+	NoConn                 // no connection: it never reached the node
+	Refused                // the node rejected it: it did not run
 )
 
-// Answer is what comes back.
+// Answer is what a node returns for a statement or a probe.
 type Answer struct {
 	Outcome Outcome
-	Pos     float64 // applied up to this time
+	Pos     float64 // time up to which the node has applied the log
 	Primary bool
 }
 
-// Node is a server. Its table: what is out, emptied by answers and by Crash.
+// Node is a simulated server. It keeps the statements in flight until they are answered or the node crashes.
 type Node struct {
-	Primary bool // to be read; Lead sets it
-	terms   Terms
-	clock   Clock
-	rng     *rand.Rand
-	ill     Ill
-	busy    int     // cores
-	queue   []*job  // waits for one, oldest first
-	queued  float64 // s of work that is in it
-	out     []*job
-	started float64 // -Inf: long ago
-	downTo  float64
-	lag     float64 // beyond Terms.Lag, as of
-	lagAt   float64
-	stands  float64 // position that it stands still at; 0: it does not
-	led     float64 // until then it was primary
-	ran     int
-	came    int
-	falls   int
+	Primary      bool // read only for callers; SetPrimary sets it
+	config       Config
+	clock        Clock
+	rng          *rand.Rand
+	impairment   Impairment
+	busyCores    int
+	queue        []*statement // waiting for a core, oldest first
+	queuedWork   float64      // seconds of work in the queue
+	inFlight     []*statement
+	startedAt    float64 // -Inf: long ago
+	downUntil    float64
+	extraLag     float64 // lag beyond Config.Lag, as of lagAt
+	lagAt        float64
+	stalledAt    float64 // position at which replication is stalled; 0: it is not
+	primaryUntil float64 // position at which the node stopped being primary; 0: it never was
+	runCount     int
+	arrivedCount int
+	crashCount   int
 }
 
-type job struct {
-	then func(Answer)
-	do   func() bool
-	work float64 // s, at full speed
-	lost bool
-	runs bool
-	over bool
+// statement is a statement in flight at a node.
+type statement struct {
+	then       func(Answer)
+	execute    func() bool
+	work       float64 // seconds at full speed
+	answerLost bool
+	isRunning  bool
+	isOver     bool
 }
 
-// New makes a node that has run for long.
-func New(t Terms, c Clock, seed int64) *Node {
-	return &Node{terms: t, clock: c, rng: rand.New(rand.NewSource(seed)), started: math.Inf(-1), lagAt: c.Now()}
+// New returns a node that has been running for a long time.
+func New(config Config, clock Clock, seed int64) *Node {
+	return &Node{config: config, clock: clock, rng: rand.New(rand.NewSource(seed)), startedAt: math.Inf(-1), lagAt: clock.Now()}
 }
 
-// Set says what is wrong with it from now on.
-func (n *Node) Set(x Ill) {
-	n.stands = 0
-	if x.Stands {
-		n.stands = n.pos()
+// SetImpairment sets what is wrong with the node from now on.
+func (n *Node) SetImpairment(impairment Impairment) {
+	n.stalledAt = 0
+	if impairment.ReplicationStalled {
+		n.stalledAt = n.position()
 	}
-	n.ill = x
+	n.impairment = impairment
 }
 
-// Lead has it be primary, or be one no more: then it has all that it committed, and follows from there.
-func (n *Node) Lead(on bool) {
-	if n.Primary && !on {
-		n.led = n.pos()
+// SetPrimary makes the node a primary or a replica. A former primary has everything that it committed, and follows from there.
+func (n *Node) SetPrimary(isPrimary bool) {
+	if n.Primary && !isPrimary {
+		n.primaryUntil = n.position()
 	}
-	n.Primary = on
+	n.Primary = isPrimary
 }
 
-// Start has it begin anew now, cold.
-func (n *Node) Start() {
-	n.started, n.lag, n.lagAt = n.clock.Now(), 0, n.clock.Now()
+// Restart starts the node anew now, with cold caches.
+func (n *Node) Restart() {
+	n.startedAt, n.extraLag, n.lagAt = n.clock.Now(), 0, n.clock.Now()
 }
 
-// Crash ends all that is out, and has it down for a time; then it starts cold.
-func (n *Node) Crash(down float64) {
+// Crash ends all statements in flight and keeps the node down for a time; then it starts with cold caches.
+func (n *Node) Crash(downtime float64) {
 	now := n.clock.Now()
-	n.downTo = now + down
-	n.queue, n.queued = nil, 0
-	for _, j := range slices.Clone(n.out) {
-		n.clock.At(now, func() { n.end(j, Answer{Outcome: Broken}) })
+	n.downUntil = now + downtime
+	n.queue, n.queuedWork = nil, 0
+	for _, st := range slices.Clone(n.inFlight) {
+		n.clock.At(now, func() { n.answer(st, Answer{Outcome: Broken}) })
 	}
-	n.clock.At(n.downTo, func() {
-		if n.clock.Now() >= n.downTo {
-			n.Start()
+	n.clock.At(n.downUntil, func() {
+		if n.clock.Now() >= n.downUntil {
+			n.Restart()
 		}
 	})
 }
 
-// Down tells whether its process is gone.
-func (n *Node) Down() bool { return n.clock.Now() < n.downTo }
+// IsDown reports whether the server process is down.
+func (n *Node) IsDown() bool { return n.clock.Now() < n.downUntil }
 
-// Counts tells statements that came, those that ran, and how often it fell over.
-func (n *Node) Counts() (came, ran, falls int) { return n.came, n.ran, n.falls }
+// Counts returns how many statements arrived, how many ran, and how often overload crashed the node.
+func (n *Node) Counts() (arrived, ran, crashes int) { return n.arrivedCount, n.runCount, n.crashCount }
 
-// speed is the share of its full one.
+// speed returns the current speed as a share of the full one.
 func (n *Node) speed() float64 {
 	s := 1.0
-	if age := n.clock.Now() - n.started; age < n.terms.Warm {
-		s = n.terms.Cold + (1-n.terms.Cold)*age/n.terms.Warm
+	if age := n.clock.Now() - n.startedAt; age < n.config.WarmUp {
+		s = n.config.ColdSpeed + (1-n.config.ColdSpeed)*age/n.config.WarmUp
 	}
-	if over := len(n.out) - 2*n.cores(); over > 0 {
-		s /= 1 + n.terms.Crowd*float64(over)
+	if excess := len(n.inFlight) - 2*n.cores(); excess > 0 {
+		s /= 1 + n.config.CrowdPenalty*float64(excess)
 	}
 	return s
 }
 
-// pos is the time up to which it has applied all.
-func (n *Node) pos() float64 {
+// position returns the time up to which the node has applied the log, and brings the lag up to date.
+func (n *Node) position() float64 {
 	now := n.clock.Now()
-	if n.Primary { // it has all, and begins from here if it is one no more
-		n.lag, n.lagAt = 0, now
+	if n.Primary { // a primary has everything, and starts from here if it becomes a replica
+		n.extraLag, n.lagAt = 0, now
 		return now
 	}
-	by, cores := now-n.lagAt, n.cores()
-	if n.lagAt = now; n.busy >= cores {
-		n.lag += n.terms.Crowded * by
+	elapsed, cores := now-n.lagAt, n.cores()
+	if n.lagAt = now; n.busyCores >= cores {
+		n.extraLag += n.config.LagGrowth * elapsed
 	} else {
-		n.lag = max(0, n.lag-by*float64(cores-n.busy)/float64(cores))
+		n.extraLag = max(0, n.extraLag-elapsed*float64(cores-n.busyCores)/float64(cores))
 	}
-	pos := now - n.terms.Lag - n.lag
-	if n.stands > 0 {
-		pos = min(pos, n.stands)
+	pos := now - n.config.Lag - n.extraLag
+	if n.stalledAt > 0 {
+		pos = min(pos, n.stalledAt)
 	}
-	return max(pos, n.led)
+	return max(pos, n.primaryUntil)
 }
 
-func (n *Node) cores() int { return max(1, n.terms.Cores) }
+func (n *Node) cores() int { return max(1, n.config.Cores) }
 
-// waiting is about how long a statement that comes now waits for a core.
-func (n *Node) waiting() float64 { return n.queued / n.speed() / float64(n.cores()) }
+// expectedWait estimates how long a statement that arrives now waits for a core.
+func (n *Node) expectedWait() float64 { return n.queuedWork / n.speed() / float64(n.cores()) }
 
-// Run gives it a statement; connect says that it comes on a new connection. do is called when it runs, whether or not anybody
-// hears of it, and tells whether the node takes it; nil: it does. then is called once, or never where the answer is lost:
-// whoever asked gives up by a time of its own, and calls stop: what has not begun by then does not run, what has goes on.
-func (n *Node) Run(connect bool, do func() bool, then func(Answer)) (stop func()) {
+// Run gives the node a statement. do is called when the statement runs, whether or not its answer arrives, and returns false if
+// the node rejects it; a nil do accepts it. then is called once, or never if the answer is lost: the caller keeps its own timeout
+// and calls stop when it gives up. A statement that is still queued then does not run; one that runs already goes on.
+func (n *Node) Run(isNewConnection bool, do func() bool, then func(Answer)) (stop func()) {
 	now := n.clock.Now()
-	if n.Down() || n.ill.Cut || connect && n.ill.Refuses {
-		if !n.ill.Cut {
+	if n.IsDown() || n.impairment.Unreachable || isNewConnection && n.impairment.RefusesConnections {
+		if !n.impairment.Unreachable {
 			n.clock.At(now, func() { then(Answer{Outcome: NoConn}) })
 		}
 		return func() {}
 	}
-	n.came++
-	j := &job{then: then, do: do, lost: n.rng.Float64() < n.ill.Loses}
-	n.out = append(n.out, j)
+	n.arrivedCount++
+	st := &statement{then: then, execute: do, answerLost: n.rng.Float64() < n.impairment.LostAnswerShare}
+	n.inFlight = append(n.inFlight, st)
 	stop = func() {
-		if !j.runs {
-			n.unqueue(j)
+		if !st.isRunning {
+			n.dequeue(st)
 		}
-		n.drop(j)
+		n.drop(st)
 	}
 	switch {
-	case n.ill.Hangs:
+	case n.impairment.Hangs:
 		return stop
-	case n.rng.Float64() < n.ill.Fails:
-		n.clock.At(now+0.001, func() { n.end(j, Answer{Outcome: Error}) })
+	case n.rng.Float64() < n.impairment.ErrorShare:
+		n.clock.At(now+0.001, func() { n.answer(st, Answer{Outcome: Error}) })
 		return stop
 	}
-	if j.work = n.terms.Work * n.rng.ExpFloat64(); connect {
-		j.work += n.terms.Handshake
+	if st.work = n.config.MeanWork * n.rng.ExpFloat64(); isNewConnection {
+		st.work += n.config.Handshake
 	}
-	n.queue, n.queued = append(n.queue, j), n.queued+j.work
-	n.begin()
-	if n.terms.Falls > 0 && n.waiting() > n.terms.Falls {
-		n.falls++
-		n.Crash(n.terms.Down)
+	n.queue, n.queuedWork = append(n.queue, st), n.queuedWork+st.work
+	n.startQueued()
+	if n.config.CrashBacklog > 0 && n.expectedWait() > n.config.CrashBacklog {
+		n.crashCount++
+		n.Crash(n.config.Downtime)
 	}
 	return stop
 }
 
-func (n *Node) unqueue(j *job) {
-	if i := slices.Index(n.queue, j); i >= 0 {
-		n.queue, n.queued = slices.Delete(n.queue, i, i+1), n.queued-j.work
+func (n *Node) dequeue(st *statement) {
+	if i := slices.Index(n.queue, st); i >= 0 {
+		n.queue, n.queuedWork = slices.Delete(n.queue, i, i+1), n.queuedWork-st.work
 	}
 }
 
-// begin has cores that are free take what waits.
-func (n *Node) begin() {
-	for n.busy < n.cores() && len(n.queue) > 0 {
-		n.pos() // its lag up to now, before it gets busier
-		j := n.queue[0]
-		n.unqueue(j)
-		n.busy++
-		j.runs = true
-		began := n.started
-		n.clock.At(n.clock.Now()+j.work/n.speed(), func() {
-			n.pos()
-			n.busy--
-			if n.started == began && !n.Down() { // else it went down meanwhile
-				n.clock.At(n.clock.Now()+n.ill.Slower, func() { n.done(j) })
+// startQueued lets free cores take statements from the queue.
+func (n *Node) startQueued() {
+	for n.busyCores < n.cores() && len(n.queue) > 0 {
+		n.position() // brings the lag up to date before another core becomes busy
+		st := n.queue[0]
+		n.dequeue(st)
+		n.busyCores++
+		st.isRunning = true
+		startedAt := n.startedAt
+		n.clock.At(n.clock.Now()+st.work/n.speed(), func() {
+			n.position()
+			n.busyCores--
+			if n.startedAt == startedAt && !n.IsDown() { // otherwise the node went down meanwhile
+				n.clock.At(n.clock.Now()+n.impairment.ExtraLatency, func() { n.finish(st) })
 			}
-			n.begin()
+			n.startQueued()
 		})
 	}
 }
 
-// done is the end of a statement that ran; perhaps nobody waits for it any more.
-func (n *Node) done(j *job) {
-	if n.Down() {
+// finish ends a statement that ran, even if nobody waits for its answer any more.
+func (n *Node) finish(st *statement) {
+	if n.IsDown() {
 		return
 	}
-	n.ran++
-	a := Answer{Outcome: Done, Pos: n.pos(), Primary: n.Primary}
-	if j.do != nil && !j.do() {
+	n.runCount++
+	a := Answer{Outcome: Done, Pos: n.position(), Primary: n.Primary}
+	if st.execute != nil && !st.execute() {
 		a.Outcome = Refused
 	}
-	if j.lost || n.ill.Hangs {
-		n.drop(j)
+	if st.answerLost || n.impairment.Hangs {
+		n.drop(st)
 		return
 	}
-	n.end(j, a)
+	n.answer(st, a)
 }
 
-// drop has nobody wait for a statement's answer any more.
-func (n *Node) drop(j *job) {
-	j.over = true
-	n.out = slices.DeleteFunc(n.out, func(x *job) bool { return x == j })
+// drop removes a statement from those in flight; its answer is not delivered.
+func (n *Node) drop(st *statement) {
+	st.isOver = true
+	n.inFlight = slices.DeleteFunc(n.inFlight, func(x *statement) bool { return x == st })
 }
 
-func (n *Node) end(j *job, a Answer) {
-	if !j.over {
-		n.drop(j)
-		j.then(a)
+// answer delivers the answer of a statement unless it is over already.
+func (n *Node) answer(st *statement, a Answer) {
+	if !st.isOver {
+		n.drop(st)
+		st.then(a)
 	}
 }
 
-// Probe asks it for its position and role, which takes no work worth counting. false: no answer comes.
+// Probe returns the node's position and role, at no cost to the node. ok is false if no answer comes.
 func (n *Node) Probe() (a Answer, ok bool) {
-	if n.Down() || n.ill.Cut || n.ill.Hangs {
+	if n.IsDown() || n.impairment.Unreachable || n.impairment.Hangs {
 		return Answer{}, false
 	}
-	return Answer{Outcome: Done, Pos: n.pos(), Primary: n.Primary}, true
+	return Answer{Outcome: Done, Pos: n.position(), Primary: n.Primary}, true
 }
