--- a/cmd/eiderlab/main.go
+++ b/cmd/eiderlab/main.go
@@ -286,8 +286,8 @@
 			return err
 		}
 		f := s.Play()
-		wrong := f.Wrong()
-		fmt.Printf("%s: %d txns, %.3f served, %d wrong\n", path, f.Sent(), f.Served(), len(wrong))
+		wrong := f.Violations()
+		fmt.Printf("%s: %d txns, %.3f served, %d wrong\n", path, f.SentCount(), f.ServedShare(), len(wrong))
 		for _, w := range wrong {
 			worst = errWrong
 			fmt.Printf("  %s: %s\n", w.Rule, w.Why)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -54,14 +54,14 @@
 type Day int
 
 const (
-	Hang      Day = iota // one replica hangs
-	Lag                  // all replicas stand still: only primaries can be read from, and they are too few for all
-	Replace              // three of five replicas of each group are replaced by others; figures count from a second after that
-	ZoneFails            // the nodes of zone c, where no primary is, fail all for 5 s; the play goes on for six more
-	ZoneLoses            // they lose every second answer
-	ZoneSlow             // their answers take 300 ms longer
-	ZoneHangs            // they take all and say nothing
-	ZoneCold             // they are down for 3 s and come back cold
+	ReplicaHangs     Day = iota // one replica hangs
+	ReplicasStall               // all replicas stand still: only primaries can be read from, and they are too few for all
+	ReplicasReplaced            // three of five replicas of each group are replaced by others; figures count from a second after that
+	ZoneFails                   // the nodes of zone c, where no primary is, fail all for 5 s; the play goes on for six more
+	ZoneLoses                   // they lose every second answer
+	ZoneSlow                    // their answers take 300 ms longer
+	ZoneHangs                   // they take all and say nothing
+	ZoneCold                    // they are down for 3 s and come back cold
 )
 
 type event struct {
@@ -200,9 +200,9 @@
 func (f *Fleet) begin(d Day) float64 {
 	ill := map[Day]model.Impairment{ZoneFails: {ErrorShare: 1}, ZoneLoses: {LostAnswerShare: 0.5}, ZoneSlow: {ExtraLatency: 0.3}, ZoneHangs: {Hangs: true}}
 	switch d {
-	case Hang:
+	case ReplicaHangs:
 		f.At(start+hangs, func() { f.servers[2].SetImpairment(model.Impairment{Hangs: true}) })
-	case Lag:
+	case ReplicasStall:
 		f.At(start+warm/2, func() {
 			for _, s := range f.servers {
 				if !s.Primary {
@@ -210,7 +210,7 @@
 				}
 			}
 		})
-	case Replace:
+	case ReplicasReplaced:
 		f.from = start + hangs
 		f.At(f.from-1, f.replace)
 	case ZoneCold:
@@ -345,34 +345,34 @@
 	f.At(f.now+leastWay+(mostWay-leastWay)*f.rng.Float64(), func() { f.routers[me].now(func() { do(f.routers[me]) }) })
 }
 
-// Sum is the figures of a play; by txn where nothing else is said.
-type Sum struct {
+// Summary is the figures of a play; by txn where nothing else is said.
+type Summary struct {
 	Probes, Handshakes, Words float64 // words of 256 bytes, as they are received
 	Held, InTime              float64 // shares
-	Declined, Falls           int
-	Even                      float64 // statements to the least loaded replica, of those to the most loaded; NaN: none had any
+	Declined, Crashes         int
+	Evenness                  float64 // statements to the least loaded replica, of those to the most loaded; NaN: none had any
 	LastAtHung                float64 // s after a replica hung until nothing more came there
-	Asked                     []int64 // statements to zone c by half seconds, the ordinary first; none: nothing was wrong with it
+	ZoneStatements            []int64 // statements to zone c by half seconds, the ordinary first; none: nothing was wrong with it
 }
 
-// Sum adds up.
-func (f *Fleet) Sum() Sum {
+// Summarize computes the figures of a play.
+func (f *Fleet) Summarize() Summary {
 	txns := float64(f.txns)
-	least, most, falls := math.MaxInt, 0, 0
+	least, most, crashes := math.MaxInt, 0, 0
 	for _, s := range f.servers {
 		_, _, n := s.Counts()
-		if falls += n; !s.Primary && s.group > 0 && !s.gone {
+		if crashes += n; !s.Primary && s.group > 0 && !s.gone {
 			least, most = min(least, s.served), max(most, s.served)
 		}
 	}
-	out := Sum{Probes: float64(f.probes) / txns, Handshakes: float64(f.shakes) / txns, Words: f.bytes / 256 / txns, Held: float64(f.held) / txns,
-		InTime: float64(f.good) / txns, Declined: f.declined, Falls: falls, Even: float64(least) / float64(most),
-		LastAtHung: max(0, f.lastAtHung-1e9-hangs), Asked: f.asked}
+	out := Summary{Probes: float64(f.probes) / txns, Handshakes: float64(f.shakes) / txns, Words: f.bytes / 256 / txns, Held: float64(f.held) / txns,
+		InTime: float64(f.good) / txns, Declined: f.declined, Crashes: crashes, Evenness: float64(least) / float64(most),
+		LastAtHung: max(0, f.lastAtHung-1e9-hangs), ZoneStatements: f.asked}
 	return out
 }
 
-// ZoneIll is for how long zone c is ill on a day, s; 0: it is not.
-func ZoneIll(d Day) float64 {
+// ZoneFaultDuration is for how long zone c is ill on a day, s; 0: it is not.
+func ZoneFaultDuration(d Day) float64 {
 	switch {
 	case d == ZoneCold:
 		return coldFor
@@ -384,11 +384,11 @@
 
 // Figures tells them in a line.
 func (f *Fleet) Figures() string {
-	s := f.Sum()
+	s := f.Summarize()
 	text := fmt.Sprintf("probes %.3f, handshakes %.3f, words of 256 bytes %.3f a txn; held %.2f, in time %.3f, declined %d; least and most loaded replica %.2f",
-		s.Probes, s.Handshakes, s.Words, s.Held, s.InTime, s.Declined, s.Even)
-	if s.Asked != nil {
-		return text + fmt.Sprintf("; zone c before and after: %d, fell over %d", s.Asked, s.Falls)
+		s.Probes, s.Handshakes, s.Words, s.Held, s.InTime, s.Declined, s.Evenness)
+	if s.ZoneStatements != nil {
+		return text + fmt.Sprintf("; zone c before and after: %d, fell over %d", s.ZoneStatements, s.Crashes)
 	}
 	return text + fmt.Sprintf("; last at the hung %.1f s", s.LastAtHung)
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -17,25 +17,25 @@
 		for _, n := range []int{3, 10, 30, 100, 300, 1000} {
 			for d, name := range []string{"lags", "replaced"} {
 				for _, w := range []Way{alone, all} {
-					t.Logf("%d routers, %s, %s: %s", n, w.Name, name, Play(n, w, Lag+Day(d), 1).Figures())
+					t.Logf("%d routers, %s, %s: %s", n, w.Name, name, Play(n, w, ReplicasStall+Day(d), 1).Figures())
 				}
 			}
 			for _, w := range []Way{alone, {Name: "positions", Talk: true}, {Name: "positions and roles", Talk: true, Primes: true},
 				{Name: "positions and loads", Talk: true, Loads: true}, all} {
-				t.Logf("%d routers, %s: %s", n, w.Name, Play(n, w, Hang, 1).Figures())
+				t.Logf("%d routers, %s: %s", n, w.Name, Play(n, w, ReplicaHangs, 1).Figures())
 			}
 		}
 		return
 	}
 	const n = 60
-	a, b := Play(n, alone, Hang, 1), Play(n, all, Hang, 1)
+	a, b := Play(n, alone, ReplicaHangs, 1), Play(n, all, ReplicaHangs, 1)
 	t.Logf("alone: %s", a.Figures())
 	t.Logf("together: %s", b.Figures())
 	require.Less(t, 4*b.probes*a.txns, a.probes*b.txns, "probes a txn, under a quarter")
 	require.Less(t, 4*b.held*a.txns, a.held*b.txns)
 	require.Greater(t, float64(b.good)/float64(b.txns), float64(a.good)/float64(a.txns)-0.02)
-	require.Equal(t, b.Figures(), Play(n, all, Hang, 1).Figures(), "one seed, one history")
-	few := Play(3, all, Hang, 1)
+	require.Equal(t, b.Figures(), Play(n, all, ReplicaHangs, 1).Figures(), "one seed, one history")
+	few := Play(3, all, ReplicaHangs, 1)
 	t.Logf("three: %s", few.Figures())
 	require.Less(t, few.bytes/256/float64(few.txns), 0.1, "few routers with traffic of their own tell little")
 }
@@ -46,20 +46,20 @@
 	told := Way{Name: "told", Talk: true, Loads: true, Primes: true}
 	numbered := told
 	numbered.Name, numbered.Zones, numbered.Numbers = "numbered", true, true
-	vain := func(s Sum) (n int64) {
-		for _, x := range s.Asked[2:11] {
+	vain := func(s Summary) (n int64) {
+		for _, x := range s.ZoneStatements[2:11] {
 			n += x
 		}
 		return n
 	}
 	for _, d := range []Day{ZoneFails, ZoneCold} {
-		a, b := Play(30, told, d, 1).Sum(), Play(30, numbered, d, 1).Sum()
-		t.Logf("day %d: told %v, numbered %v", d, a.Asked, b.Asked)
-		require.Zero(t, b.Falls)
+		a, b := Play(30, told, d, 1).Summarize(), Play(30, numbered, d, 1).Summarize()
+		t.Logf("day %d: told %v, numbered %v", d, a.ZoneStatements, b.ZoneStatements)
+		require.Zero(t, b.Crashes)
 		require.Greater(t, b.InTime, 0.95)
 		if d != ZoneCold {
 			require.Less(t, 2*vain(b), vain(a))
 		}
-		require.Greater(t, b.Asked[len(b.Asked)-1], b.Asked[0]/2, "it is used again")
+		require.Greater(t, b.ZoneStatements[len(b.ZoneStatements)-1], b.ZoneStatements[0]/2, "it is used again")
 	}
 }
--- a/fleet/world.go
+++ b/fleet/world.go
@@ -26,10 +26,10 @@
 	Share  float64 `yaml:"share,omitempty"` // of statements, of answers, of datagrams
 }
 
-// Whats lists what may break: a node (hang, fail, lose, slow, stand, crash, drain, replace, promote), all nodes of a zone
+// FaultKinds lists what may break: a node (hang, fail, lose, slow, stand, crash, drain, replace, promote), all nodes of a zone
 // (zone-hang, zone-fail, zone-lose, zone-slow, zone-stand, zone-crash), ways from a zone to the routers or nodes of another (cut-peers,
 // cut-nodes), datagrams (loss), a router (freeze, kill, alone), who numbers the steps (holder).
-var Whats = []string{"hang", "fail", "lose", "slow", "stand", "crash", "drain", "replace", "promote", "zone-hang", "zone-fail", "zone-lose", "zone-slow",
+var FaultKinds = []string{"hang", "fail", "lose", "slow", "stand", "crash", "drain", "replace", "promote", "zone-hang", "zone-fail", "zone-lose", "zone-slow",
 	"zone-stand", "zone-crash", "cut-peers", "cut-nodes", "loss", "freeze", "kill", "alone", "holder"}
 
 const (
@@ -38,10 +38,10 @@
 	upAfter  = 0.5 // s until a killed router is back, where the fault does not say
 )
 
-// Zones are the names that faults may use; Nodes is how many there are at the begin.
+// Zones are the names that faults may use; InitialNodes is how many nodes there are at the start.
 var (
-	Zones = zones
-	Nodes = groups * (replicas + 1)
+	Zones        = zones
+	InitialNodes = groups * (replicas + 1)
 )
 
 type row struct {
@@ -127,11 +127,11 @@
 	return true
 }
 
-// History is what was written down; Wrong is what was against the rules in it.
+// History is what was written down; Violations lists the rules that it breaks.
 func (f *Fleet) History() []judge.Event { return f.world.history }
 
-// Wrong says what was wrong: by the judge, and what the hosts of the modules saw themselves.
-func (f *Fleet) Wrong() (out []judge.Finding) {
+// Violations returns the broken rules: those that the judge finds in the history and those that the simulated hosts saw themselves.
+func (f *Fleet) Violations() (out []judge.Finding) {
 	for _, why := range f.world.wrong {
 		out = append(out, judge.Finding{Rule: "one submission, one answer", Why: why})
 	}
@@ -139,8 +139,8 @@
 	return append(out, judge.Judge(history).Wrong...)
 }
 
-// Served is the share of the txns that were served.
-func (f *Fleet) Served() float64 {
+// ServedShare is the share of the txns that were served.
+func (f *Fleet) ServedShare() float64 {
 	sent, served := 0, 0
 	for _, e := range f.world.history {
 		switch {
@@ -272,8 +272,8 @@
 	}
 }
 
-// Sent is how many txns clients sent.
-func (f *Fleet) Sent() (n int) {
+// SentCount returns how many txns clients sent.
+func (f *Fleet) SentCount() (n int) {
 	for _, e := range f.world.history {
 		if e.Kind == "send" {
 			n++
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -61,7 +61,7 @@
 )
 
 var (
-	days = map[string]fleet.Day{"hang": fleet.Hang, "lag": fleet.Lag, "replace": fleet.Replace, "zone-fails": fleet.ZoneFails, "zone-loses": fleet.ZoneLoses,
+	days = map[string]fleet.Day{"hang": fleet.ReplicaHangs, "lag": fleet.ReplicasStall, "replace": fleet.ReplicasReplaced, "zone-fails": fleet.ZoneFails, "zone-loses": fleet.ZoneLoses,
 		"zone-slow": fleet.ZoneSlow, "zone-hangs": fleet.ZoneHangs, "zone-cold": fleet.ZoneCold}
 	words = map[string]fleet.Way{"none": {}, "positions": {Talk: true}, "roles": {Talk: true, Primes: true}, "loads": {Talk: true, Loads: true},
 		"all":   {Talk: true, Loads: true, Primes: true},
@@ -165,7 +165,7 @@
 // cases lists what is played in each way: files of trials, or plays, each with its name.
 func (x *Experiment) cases() (out []*Case, err error) {
 	for _, p := range x.Plays {
-		out = append(out, &Case{Name: fmt.Sprintf("%s, %d routers", p.Day, p.Routers), Fault: fleet.ZoneIll(days[p.Day]), play: p})
+		out = append(out, &Case{Name: fmt.Sprintf("%s, %d routers", p.Day, p.Routers), Fault: fleet.ZoneFaultDuration(days[p.Day]), play: p})
 	}
 	for _, p := range x.Trials {
 		files, err := trial.Files(x.path(p))
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -157,13 +157,13 @@
 
 // ofPlay works out the figures of a play in virtual time.
 func ofPlay(seed int64, f *fleet.Fleet, ill float64) *Run {
-	s := f.Sum()
+	s := f.Summarize()
 	run := &Run{Seed: seed, Values: map[string]float64{"probes": s.Probes, "handshakes": s.Handshakes, "words": s.Words, "held": s.Held, "in_time": s.InTime}}
-	run.Values["declined"], run.Values["falls"], run.Asked = float64(s.Declined), float64(s.Falls), s.Asked
-	if !math.IsNaN(s.Even) {
-		run.Values["even"] = s.Even
+	run.Values["declined"], run.Values["falls"], run.Asked = float64(s.Declined), float64(s.Crashes), s.ZoneStatements
+	if !math.IsNaN(s.Evenness) {
+		run.Values["even"] = s.Evenness
 	}
-	if len(s.Asked) > 1 && s.Asked[0] > 0 {
+	if len(s.ZoneStatements) > 1 && s.ZoneStatements[0] > 0 {
 		run.zone(time.Duration(ill * float64(time.Second)))
 	}
 	return run
--- a/lab/hunt.go
+++ b/lab/hunt.go
@@ -90,8 +90,8 @@
 	rng := rand.New(rand.NewSource(seed))
 	s := fleet.Setup{Seed: seed, Routers: fewRouters + rng.Intn(max(1, most-fewRouters+1)), Way: huntWays[rng.Intn(len(huntWays))], For: huntFor}
 	for range 1 + rng.Intn(mostFaults) {
-		x := fleet.Fault{At: huntFrom + (huntUntil-huntFrom)*rng.Float64(), For: 0.2 + (longest-0.2)*rng.Float64(), What: fleet.Whats[rng.Intn(len(fleet.Whats))],
-			Node: rng.Intn(fleet.Nodes), Router: rng.Intn(s.Routers), Zone: fleet.Zones[rng.Intn(len(fleet.Zones))], To: fleet.Zones[rng.Intn(len(fleet.Zones))]}
+		x := fleet.Fault{At: huntFrom + (huntUntil-huntFrom)*rng.Float64(), For: 0.2 + (longest-0.2)*rng.Float64(), What: fleet.FaultKinds[rng.Intn(len(fleet.FaultKinds))],
+			Node: rng.Intn(fleet.InitialNodes), Router: rng.Intn(s.Routers), Zone: fleet.Zones[rng.Intn(len(fleet.Zones))], To: fleet.Zones[rng.Intn(len(fleet.Zones))]}
 		x.Share = 0.1 + 0.9*rng.Float64()
 		s.Faults = append(s.Faults, x)
 	}
@@ -101,7 +101,7 @@
 
 // shows tells why a play broke a rule; "": it did not, or none where rule is "".
 func shows(s fleet.Setup, rule string, only []string) (which, why string) {
-	for _, w := range s.Play().Wrong() {
+	for _, w := range s.Play().Violations() {
 		if (rule == "" || w.Rule == rule) && (len(only) == 0 || slices.Contains(only, w.Rule)) {
 			return w.Rule, w.Why
 		}
@@ -155,7 +155,7 @@
 			s.Plant = h.Plant
 			f := s.Play()
 			var found *Found
-			for _, w := range f.Wrong() {
+			for _, w := range f.Violations() {
 				if len(h.Rules) == 0 || slices.Contains(h.Rules, w.Rule) {
 					found = &Found{Rule: w.Rule, Faults: len(s.Faults)}
 					found.Setup = Shrink(s, w.Rule)
@@ -165,13 +165,13 @@
 			}
 			than := 0.0
 			if h.Than != "" {
-				than = in(s, h.Than).Play().Served()
+				than = in(s, h.Than).Play().ServedShare()
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			done++
-			out.Txns += f.Sent()
-			out.Lowest = append(out.Lowest, Low{s, f.Served(), than})
+			out.Txns += f.SentCount()
+			out.Lowest = append(out.Lowest, Low{s, f.ServedShare(), than})
 			if found != nil {
 				out.Found = append(out.Found, found)
 				h.Progress(fmt.Sprintf("[%d/%d] seed %d: %s: %s", done, h.Seeds, s.Seed, found.Rule, found.Why))
@@ -226,8 +226,8 @@
 		return s, fmt.Errorf("%s: plant: %q is none of %s", path, s.Plant, strings.Join(fleet.Plants, ", "))
 	}
 	for i, x := range s.Faults {
-		if !slices.Contains(fleet.Whats, x.What) || x.At < 0 || x.At >= s.For || x.Router < 0 || x.Node < 0 {
-			return s, fmt.Errorf("%s: faults[%d]: %q at %g s, node %d, router %d; what may be %s", path, i, x.What, x.At, x.Node, x.Router, strings.Join(fleet.Whats, ", "))
+		if !slices.Contains(fleet.FaultKinds, x.What) || x.At < 0 || x.At >= s.For || x.Router < 0 || x.Node < 0 {
+			return s, fmt.Errorf("%s: faults[%d]: %q at %g s, node %d, router %d; what may be %s", path, i, x.What, x.At, x.Node, x.Router, strings.Join(fleet.FaultKinds, ", "))
 		}
 	}
 	return s, nil
