--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -9,9 +9,9 @@
 
 var sizes = flag.String("routers", "", "all: a table of 3 to 1,000 routers, and each way alone")
 
-// TestFleet plays quiet routers alone and together at one whole load. With -routers all it prints the table of 3 to 1,000
-// routers, and what each part of the peers' words brings.
-func TestFleet(t *testing.T) {
+// TestPeerReportsSaveProbes: routers that share reports with their peers send under a quarter of the probes of routers alone, at
+// the same total load. With -routers all it prints the table of 3 to 1,000 routers, and the effect of each part of the reports.
+func TestPeerReportsSaveProbes(t *testing.T) {
 	alone, all := Way{Name: "alone"}, Way{Name: "together", Talk: true, Loads: true, Primes: true}
 	if *sizes == "all" {
 		for _, n := range []int{3, 10, 30, 100, 300, 1000} {
@@ -31,22 +31,23 @@
 	a, b := Play(n, alone, ReplicaHangs, 1), Play(n, all, ReplicaHangs, 1)
 	t.Logf("alone: %s", a.Figures())
 	t.Logf("together: %s", b.Figures())
-	require.Less(t, 4*b.probes*a.txns, a.probes*b.txns, "probes a txn, under a quarter")
+	require.Less(t, 4*b.probes*a.txns, a.probes*b.txns, "probes per txn: under a quarter")
 	require.Less(t, 4*b.held*a.txns, a.held*b.txns)
-	require.Greater(t, float64(b.good)/float64(b.txns), float64(a.good)/float64(a.txns)-0.02)
-	require.Equal(t, b.Figures(), Play(n, all, ReplicaHangs, 1).Figures(), "one seed, one history")
+	require.Greater(t, float64(b.inTime)/float64(b.txns), float64(a.inTime)/float64(a.txns)-0.02)
+	require.Equal(t, b.Figures(), Play(n, all, ReplicaHangs, 1).Figures(), "the same seed gives the same history")
 	few := Play(3, all, ReplicaHangs, 1)
 	t.Logf("three: %s", few.Figures())
-	require.Less(t, few.bytes/256/float64(few.txns), 0.1, "few routers with traffic of their own tell little")
+	require.Less(t, few.bytes/256/float64(few.txns), 0.1, "few routers with much traffic of their own send few reports")
 }
 
-// TestZones: nodes that are half loaded, a third of them ill together. Routers that leave the zone together send it less in vain
-// than those that tell each other of nodes, and nobody pushes a node over, also where the zone comes back cold.
-func TestZones(t *testing.T) {
+// TestLeavingAZoneTogether: nodes are half loaded, and a third of them, a zone, fail together. Routers that leave the zone
+// together send it fewer statements in vain than routers that only report nodes to each other. No node crashes from overload,
+// not even when the zone comes back cold.
+func TestLeavingAZoneTogether(t *testing.T) {
 	told := Way{Name: "told", Talk: true, Loads: true, Primes: true}
 	numbered := told
 	numbered.Name, numbered.Zones, numbered.Numbers = "numbered", true, true
-	vain := func(s Summary) (n int64) {
+	sentInVain := func(s Summary) (n int64) {
 		for _, x := range s.ZoneStatements[2:11] {
 			n += x
 		}
@@ -58,8 +59,8 @@
 		require.Zero(t, b.Crashes)
 		require.Greater(t, b.InTime, 0.95)
 		if d != ZoneCold {
-			require.Less(t, 2*vain(b), vain(a))
+			require.Less(t, 2*sentInVain(b), sentInVain(a))
 		}
-		require.Greater(t, b.ZoneStatements[len(b.ZoneStatements)-1], b.ZoneStatements[0]/2, "it is used again")
+		require.Greater(t, b.ZoneStatements[len(b.ZoneStatements)-1], b.ZoneStatements[0]/2, "the zone is used again")
 	}
 }
--- a/fleet/router.go
+++ b/fleet/router.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns a router's side: the host of its module and books. It must never decide anything for them.
+// This file holds the host of a router: it connects the splitter and its tables to the simulation and decides nothing for them.
 
 import (
 	"math"
@@ -11,21 +11,21 @@
 	"eiderway/zone"
 )
 
-// router is a Host.
+// router is a simulated router. It implements splitter.Host.
 type router struct {
-	f         *Fleet
-	me        int
-	split     *splitter.Router
-	peerState *peerstate.Table
-	zones     *zone.Monitor
-	open      map[int]bool
-	txns      map[int]*txn
-	next      int
-	armed     float64
-	life      int
-	dead      bool
-	alone     bool    // no datagram comes or goes
-	still     float64 // it does nothing until then
+	f           *Fleet
+	me          int
+	split       *splitter.Router
+	peerState   *peerstate.Table
+	zones       *zone.Monitor
+	isConnected map[int]bool
+	txns        map[int]*txn
+	next        int
+	armed       float64
+	life        int
+	isKilled    bool
+	isIsolated  bool    // no datagram reaches or leaves it
+	frozenUntil float64 // does nothing until then
 }
 
 type txn struct {
@@ -33,55 +33,56 @@
 	arrived, sla float64
 	typ, group   int
 	key          int
-	over         bool
-	out          bool
+	isAnswered   bool
+	isSubmitted  bool
 	cancel       func()
 }
 
-// home is its zone.
+// home returns the zone of the router.
 func (r *router) home() string { return zones[r.me%len(zones)] }
 
-// at has something happen in this router then, or when it goes on after it stood still; never, if it is dead by then.
-func (r *router) at(t float64, do func()) { r.f.At(t, func() { r.now(do) }) }
+// at schedules do in this router: at time t, or when the router is no longer frozen; never if it has been killed by then.
+func (r *router) at(t float64, do func()) { r.f.At(t, func() { r.runWhenActive(do) }) }
 
-func (r *router) now(do func()) {
+// runWhenActive calls do now, or at the end of a freeze; it drops do if the router was killed.
+func (r *router) runWhenActive(do func()) {
 	switch {
-	case r.dead:
-	case r.f.now < r.still:
-		r.f.At(r.still, func() { r.now(do) })
+	case r.isKilled:
+	case r.f.now < r.frozenUntil:
+		r.f.At(r.frozenUntil, func() { r.runWhenActive(do) })
 	default:
 		do()
 	}
 }
 
 const (
-	connectIn = 0.25 // s
-	onceOnly  = 2    // a txn type: a second run would be seen
-	window    = 2.0  // s for which a group drops repeats of a referenced txn
+	connectTimeout = 0.25 // s
+	onceOnly       = 2    // a txn type whose second run would have an effect
+	repeatWindow   = 2.0  // s during which a group drops repeats of a referenced txn
 )
 
 func newRouter(f *Fleet, me, of int, seed int64) *router {
-	r := &router{f: f, me: me, open: map[int]bool{}, txns: map[int]*txn{}, armed: math.Inf(1)}
-	r.peerState = peerstate.New(peerstate.Config{Self: me, Routers: of, Seed: seed + int64(me), Bound: bound})
-	t := zone.Config{Me: me, Routers: of, Zone: zones[me%len(zones)], Life: uint32(f.set)<<12 + uint32(me) + 1}
+	r := &router{f: f, me: me, isConnected: map[int]bool{}, txns: map[int]*txn{}, armed: math.Inf(1)}
+	r.peerState = peerstate.New(peerstate.Config{Self: me, Routers: of, Seed: seed + int64(me), Bound: stalenessBound})
+	t := zone.Config{Me: me, Routers: of, Zone: zones[me%len(zones)], Life: uint32(f.sequence)<<12 + uint32(me) + 1}
 	if f.way.Numbers {
-		t.Every = stepsEvery
+		t.Every = stepInterval
 	}
 	r.zones = zone.New(t)
 	r.split = splitter.New(splitter.Terms{Seed: seed + int64(me), Self: me, Routers: of, Zone: me % len(zones), CanProbe: true, ProbeRoles: true, CanCancel: true,
-		MaxSubmissions: 8, MaxPause: 1, ConnectTimeout: connectIn, ColdFrom: 0.2, WarmAfter: 16, Overload: 2.5, OverloadOutage: 1.5,
-		Types: []splitter.TxnType{{Need: splitter.NeedBounded, Bound: bound, SLA: 0.4, Value: 1},
-			{Need: splitter.NeedPrimary, Effect: splitter.Referenced, Window: window, SLA: 1, Value: 6, LateValue: 0.5},
+		MaxSubmissions: 8, MaxPause: 1, ConnectTimeout: connectTimeout, ColdFrom: 0.2, WarmAfter: 16, Overload: 2.5, OverloadOutage: 1.5,
+		Types: []splitter.TxnType{{Need: splitter.NeedBounded, Bound: stalenessBound, SLA: 0.4, Value: 1},
+			{Need: splitter.NeedPrimary, Effect: splitter.Referenced, Window: repeatWindow, SLA: 1, Value: 6, LateValue: 0.5},
 			{Need: splitter.NeedPrimary, Effect: splitter.OnceOnly, SLA: 1, Value: 6, LateValue: 0.5}}}, r)
 	r.split.UpdateMembers(splitter.ListAll, f.list())
 	for id, s := range f.servers {
-		r.names(id, s)
+		r.addNode(id, s)
 	}
 	return r
 }
 
-// names tells the books of a node.
-func (r *router) names(id int, s *server) {
+// addNode adds a node to the tables.
+func (r *router) addNode(id int, s *server) {
 	r.peerState.AddNode(id, s.name, s.group)
 	r.zones.Node(id, s.name, zones[s.zone], s.group)
 }
@@ -100,40 +101,40 @@
 func (r *router) RequestPeerProbes(g int) {
 	if r.f.way.Talk {
 		r.peerState.AwaitPrimary(g, r.f.now)
-		r.at(r.f.now, r.act)
+		r.at(r.f.now, r.applyEffects)
 	}
 }
 func (r *router) Count(what splitter.Counter, why splitter.Cause) {
-	if what == splitter.Held && r.f.counts() {
+	if what == splitter.Held && r.f.isMeasuring() {
 		r.f.held++
 	}
 }
 func (r *router) Decline(id int, _ float64) {
-	r.ends(r.txns[id], "53300", "")
-	if r.f.counts() {
+	r.finalAnswer(r.txns[id], "53300", "")
+	if r.f.isMeasuring() {
 		r.f.declined++
 	}
 }
-func (r *router) RollBack(id int) { r.ends(r.txns[id], "08007", "") }
+func (r *router) RollBack(id int) { r.finalAnswer(r.txns[id], "08007", "") }
 
-// ends is a txn's final answer.
-func (r *router) ends(t *txn, code, body string) {
+// finalAnswer records the final answer of a txn.
+func (r *router) finalAnswer(t *txn, code, body string) {
 	if w := r.f.world; w != nil {
 		w.answered(r, t, code, body)
-		if t.over = true; r.f.plant == "answers twice" && t.typ == onceOnly {
+		if t.isAnswered = true; r.f.plant == "answers twice" && t.typ == onceOnly {
 			w.answered(r, t, code, body)
 		}
 	}
-	t.over = true
+	t.isAnswered = true
 }
 
-func (r *router) connect(node int) (anew bool) {
-	if r.open[node] {
+func (r *router) connect(node int) (isNew bool) {
+	if r.isConnected[node] {
 		return false
 	}
-	r.open[node] = true
-	if r.f.counts() {
-		r.f.shakes++
+	r.isConnected[node] = true
+	if r.f.isMeasuring() {
+		r.f.handshakes++
 	}
 	return true
 }
@@ -143,34 +144,34 @@
 	if w := f.world; w != nil {
 		w.submitted(r, t)
 	}
-	t.out = true
+	t.isSubmitted = true
 	if f.way.Talk {
 		r.peerState.RecordStart(node, sent)
-		r.at(sent, r.act)
+		r.at(sent, r.applyEffects)
 	}
 	if node == 2 {
 		f.lastAtHung = sent
 	}
-	settled, body, stop := false, "", func() {}
-	land := func(o splitter.Outcome, rep splitter.Report) {
-		if settled {
+	isSettled, body, stop := false, "", func() {}
+	settle := func(o splitter.Outcome, rep splitter.Report) {
+		if isSettled {
 			return
 		}
-		settled, t.out, t.cancel = true, false, nil
-		stop() // the connection is closed, or has its answer
+		isSettled, t.isSubmitted, t.cancel = true, false, nil
+		stop() // the connection is closed or has returned its answer
 		res := splitter.Result{Outcome: o, Latency: f.now - sent, Report: rep}
 		if o == splitter.Broken || o == splitter.NoConn {
-			r.open[node] = false
+			r.isConnected[node] = false
 		}
 		if o == splitter.Committed {
-			if f.counts() {
+			if f.isMeasuring() {
 				s.served++
-				if !t.over && t.arrived >= f.from && f.now-t.arrived <= t.sla {
-					f.good++
+				if !t.isAnswered && t.arrived >= f.measureFrom && f.now-t.arrived <= t.sla {
+					f.inTime++
 				}
 			}
-			if res.Ended = true; !t.over {
-				r.ends(t, "", body)
+			if res.Ended = true; !t.isAnswered {
+				r.finalAnswer(t, "", body)
 			}
 		}
 		if f.way.Talk {
@@ -179,33 +180,33 @@
 		if f.way.Zones {
 			r.zones.RecordOutcome(node, t.typ, o == splitter.Committed, res.Latency, f.now)
 		}
-		r.act()
+		r.applyEffects()
 		then(res)
 	}
 	none := splitter.Report{Load: -1}
-	t.cancel = func() { land(splitter.Cancelled, none) }
-	r.at(until, func() { land(splitter.TimedOut, none) })
+	t.cancel = func() { settle(splitter.Cancelled, none) }
+	r.at(until, func() { settle(splitter.TimedOut, none) })
 	if f.cut[r.home()+">"+zones[s.zone]+" nodes"] {
 		if r.connect(node) {
-			r.at(min(until, f.now+connectIn), func() { land(splitter.NoConn, none) })
+			r.at(min(until, f.now+connectTimeout), func() { settle(splitter.NoConn, none) })
 		}
 		return
 	}
 	do := func() bool { return true }
 	if w := f.world; w != nil {
-		do = func() bool { return w.ran(s, t, &body) }
+		do = func() bool { return w.execute(s, t, &body) }
 	}
 	if f.plant == "resends" && t.typ == onceOnly {
 		s.Run(false, do, func(model.Answer) {})
 	}
 	stop = s.Run(r.connect(node), do, func(a model.Answer) {
 		r.at(f.now+0.001, func() {
-			land([]splitter.Outcome{splitter.Committed, splitter.Failed, splitter.Broken, splitter.NoConn, splitter.Missed}[a.Outcome], r.report(a))
+			settle([]splitter.Outcome{splitter.Committed, splitter.Failed, splitter.Broken, splitter.NoConn, splitter.Missed}[a.Outcome], r.report(a))
 		})
 	})
 }
 
-// report is what a node told of itself.
+// report converts the answer of a node to a splitter report.
 func (r *router) report(a model.Answer) splitter.Report {
 	if a.Outcome != model.Done {
 		return splitter.Report{Load: -1}
@@ -222,52 +223,52 @@
 
 func (r *router) Probe(node int, _ splitter.Cause, then func(splitter.Report)) {
 	f, s := r.f, r.f.servers[node]
-	if f.counts() {
+	if f.isMeasuring() {
 		f.probes++
 	}
 	wait := 0.001
 	if r.connect(node) {
-		wait += ordinary.Handshake
+		wait += ordinaryNode.Handshake
 	}
 	r.at(f.now+wait, func() {
 		a, ok := s.Probe()
 		if !ok || f.cut[r.home()+">"+zones[s.zone]+" nodes"] {
-			r.open[node] = false
-			r.at(f.now+unanswered, func() { then(splitter.Report{Load: -1}) })
+			r.isConnected[node] = false
+			r.at(f.now+probeTimeout, func() { then(splitter.Report{Load: -1}) })
 			return
 		}
 		rep := r.report(a)
-		rep.Pos -= 0.1 * f.rng.Float64() // reports are refreshed now and then
+		rep.Pos -= 0.1 * f.rng.Float64() // nodes refresh their reports only now and then
 		if f.way.Talk {
 			r.peerState.Observe(node, rep.Pos, a.Primary, f.now)
-			r.act()
+			r.applyEffects()
 		}
 		then(rep)
 	})
 }
 
-// send has a datagram go its way: 1 to 40 ms, and one in fifty is lost.
+// send sends a datagram to one peer or all. By default it takes 1 to 40 ms, and one in fifty is lost.
 func (r *router) send(to int, b []byte, take func(peer *router)) {
 	f := r.f
 	for _, peer := range f.routers {
 		if peer == r || to != peerstate.All && to != peer.me {
 			continue
 		}
-		if f.counts() {
-			f.words++
+		if f.isMeasuring() {
+			f.messages++
 			f.bytes += float64(len(b))
 		}
 		if f.reaches(r, peer) {
-			f.flies(peer, func(peer *router) {
+			f.deliver(peer, func(peer *router) {
 				take(peer)
-				peer.act()
+				peer.applyEffects()
 			})
 		}
 	}
 }
 
-// act does what the books ask for.
-func (r *router) act() {
+// applyEffects carries out what the tables ask for, and schedules their next step.
+func (r *router) applyEffects() {
 	f := r.f
 	for {
 		e, z := r.peerState.Effects(), r.zones.Effects()
@@ -298,8 +299,8 @@
 			r.split.ProbeMember(n, splitter.ForAll)
 		}
 		if z.Word != "" {
-			f.word = z.Word
-			f.speak(r)
+			f.steps = z.Word
+			f.broadcastSteps(r)
 		}
 	}
 	if next := min(r.peerState.Next(), r.zones.Next()); next < r.armed {
@@ -312,14 +313,15 @@
 			if r.zones.Next() <= f.now {
 				r.zones.Step(f.now)
 			}
-			r.act()
+			r.applyEffects()
 		})
 	}
 }
 
+// arrive creates a txn that a client sends now.
 func (r *router) arrive(group, typ int) {
 	f := r.f
-	if f.counts() {
+	if f.isMeasuring() {
 		f.txns++
 	}
 	id := r.next
@@ -328,16 +330,16 @@
 	if w := f.world; w != nil {
 		w.sent(r, t, id)
 	}
-	r.now(func() { r.takes(id, t) })
+	r.runWhenActive(func() { r.accept(id, t) })
 }
 
-// takes a txn in; its client has waited for as long as the router stood still.
-func (r *router) takes(id int, t *txn) {
+// accept passes a txn to the splitter; its client has waited for as long as the router was frozen.
+func (r *router) accept(id int, t *txn) {
 	f, group, typ := r.f, t.group, t.typ
 	r.txns[id] = t
 	if f.way.Talk {
 		r.peerState.RecordArrival(group, typ > 0, f.now)
-		r.act()
+		r.applyEffects()
 	}
 	r.split.Arrive(splitter.Txn{ID: id, Group: group, Type: typ, Deadline: f.now + 3*t.sla})
 }
--- a/fleet/world.go
+++ b/fleet/world.go
@@ -1,7 +1,7 @@
 package fleet
 
-// This file owns what breaks in a play and what is written down of it: what clients sent and were told, what nodes ran. It
-// must never ask a router what it thinks; package trial/judge, which shares no code with any of this, says what was wrong.
+// This file injects the faults of a play and records its history: what clients sent and were told, and what nodes ran. It never
+// reads the state of a router. Package trial/judge, which shares no code with the routers, finds the violations in the history.
 
 import (
 	"cmp"
@@ -14,28 +14,29 @@
 	"eiderway/trial/judge"
 )
 
-// Fault is something that breaks. Node and Router are numbers, Zone a name; which of them counts depends on What.
+// Fault is an injected fault. Node and Router are numbers, Zone is a name; which of them applies depends on What.
 type Fault struct {
-	At     float64 `yaml:"at"`  // s from the begin
-	For    float64 `yaml:"for"` // s until it heals; 0: it does not
+	At     float64 `yaml:"at"`  // s from the start of the play
+	For    float64 `yaml:"for"` // s until it ends; 0: it does not end
 	What   string  `yaml:"what"`
 	Node   int     `yaml:"node,omitempty"`
 	Router int     `yaml:"router,omitempty"`
 	Zone   string  `yaml:"zone,omitempty"`
 	To     string  `yaml:"to,omitempty"`    // the other zone of a cut
-	Share  float64 `yaml:"share,omitempty"` // of statements, of answers, of datagrams
+	Share  float64 `yaml:"share,omitempty"` // of statements, answers or datagrams
 }
 
-// FaultKinds lists what may break: a node (hang, fail, lose, slow, stand, crash, drain, replace, promote), all nodes of a zone
-// (zone-hang, zone-fail, zone-lose, zone-slow, zone-stand, zone-crash), ways from a zone to the routers or nodes of another (cut-peers,
-// cut-nodes), datagrams (loss), a router (freeze, kill, alone), who numbers the steps (holder).
+// FaultKinds lists the kinds of faults: of a node (hang, fail, lose, slow, stand, crash, drain, replace, promote), of all nodes of a zone
+// (zone-hang, zone-fail, zone-lose, zone-slow, zone-stand, zone-crash), of the network from a zone to the
+// routers or nodes of another (cut-peers, cut-nodes), of datagrams (loss), of a router (freeze, kill, alone), and a change of
+// the router that numbers the steps (holder).
 var FaultKinds = []string{"hang", "fail", "lose", "slow", "stand", "crash", "drain", "replace", "promote", "zone-hang", "zone-fail", "zone-lose", "zone-slow",
 	"zone-stand", "zone-crash", "cut-peers", "cut-nodes", "loss", "freeze", "kill", "alone", "holder"}
 
 const (
-	keys     = 6   // rows of a group
-	listLate = 0.3 // s until a router has a new list, at most
-	upAfter  = 0.5 // s until a killed router is back, where the fault does not say
+	keys         = 6   // rows of a group
+	maxListDelay = 0.3 // s, the longest time until a router has a new list
+	restartDelay = 0.5 // s until a killed router is back, unless the fault says otherwise
 )
 
 // Zones are the names that faults may use; InitialNodes is how many nodes there are at the start.
@@ -50,52 +51,53 @@
 }
 
 type world struct {
-	f       *Fleet
-	history []judge.Event
-	wrong   []string
-	rows    map[[2]int][]row // by group and key, in order
-	marks   map[string]row   // of referenced txns, while repeats are dropped
-	done    map[string]bool  // effects of txns: to see a second one
-	token   uint64
-	lives   int
+	f            *Fleet
+	history      []judge.Event
+	violations   []string
+	rows         map[[2]int][]row // by group and key, in order
+	recentWrites map[string]row   // of referenced txns, to drop repeats within repeatWindow
+	done         map[string]bool  // effects of txns, to detect a second one
+	token        uint64
+	lives        int
 }
 
 func newWorld(f *Fleet) *world {
-	return &world{f: f, rows: map[[2]int][]row{}, marks: map[string]row{}, done: map[string]bool{}, token: 1}
+	return &world{f: f, rows: map[[2]int][]row{}, recentWrites: map[string]row{}, done: map[string]bool{}, token: 1}
 }
 
-func (w *world) note(e judge.Event) {
-	e.T = w.f.now - start
+func (w *world) record(e judge.Event) {
+	e.T = w.f.now - startTime
 	w.history = append(w.history, e)
 }
 
 func (w *world) sent(r *router, t *txn, id int) {
 	t.id, t.key = fmt.Sprintf("r%d.%d.%d", r.me, r.life, id), w.f.rng.Intn(keys)
-	e := judge.Event{Kind: "send", Router: r.me, Txn: t.id, Type: "look", Key: fmt.Sprintf("%d/%d", t.group, t.key), Wait: 3 * t.sla, Bound: bound}
+	e := judge.Event{Kind: "send", Router: r.me, Txn: t.id, Type: "look", Key: fmt.Sprintf("%d/%d", t.group, t.key), Wait: 3 * t.sla, Bound: stalenessBound}
 	if t.typ > 0 {
 		e.Type, e.Bound = "pay", 0
 	}
-	w.note(e)
+	w.record(e)
 }
 
 func (w *world) answered(r *router, t *txn, code, body string) {
-	if t.over {
-		w.wrong = append(w.wrong, t.id+" has a second final answer")
+	if t.isAnswered {
+		w.violations = append(w.violations, t.id+" has a second final answer")
 	}
-	w.note(judge.Event{Kind: "answer", Router: r.me, Txn: t.id, Code: code, Body: body})
+	w.record(judge.Event{Kind: "answer", Router: r.me, Txn: t.id, Code: code, Body: body})
 }
 
 func (w *world) submitted(r *router, t *txn) {
-	if t.over {
-		w.wrong = append(w.wrong, t.id+" is submitted after its final answer")
+	if t.isAnswered {
+		w.violations = append(w.violations, t.id+" is submitted after its final answer")
 	}
-	if t.out {
-		w.wrong = append(w.wrong, t.id+" has two submissions out")
+	if t.isSubmitted {
+		w.violations = append(w.violations, t.id+" has two submissions out")
 	}
 }
 
-// ran is a statement that a node runs: false where it turns it away. A group drops repeats of referenced txns for a window.
-func (w *world) ran(s *server, t *txn, body *string) bool {
+// execute runs a statement at a node; it returns false if the node rejects it. A group drops repeats of referenced txns for a
+// window.
+func (w *world) execute(s *server, t *txn, body *string) bool {
 	at := [2]int{t.group, t.key}
 	if t.typ == 0 {
 		a, _ := s.Probe()
@@ -105,13 +107,13 @@
 		} else {
 			*body = "0"
 		}
-		w.note(judge.Event{Kind: "ran", Router: -1, Txn: t.id, Type: "look", Key: fmt.Sprintf("%d/%d", t.group, t.key), Node: s.name})
+		w.record(judge.Event{Kind: "ran", Router: -1, Txn: t.id, Type: "look", Key: fmt.Sprintf("%d/%d", t.group, t.key), Node: s.name})
 		return true
 	}
 	if !s.Primary {
 		return false
 	}
-	if m, ok := w.marks[t.id]; ok && w.f.now < m.at+window {
+	if m, ok := w.recentWrites[t.id]; ok && w.f.now < m.at+repeatWindow {
 		*body = fmt.Sprint(m.body)
 		return true
 	}
@@ -121,25 +123,25 @@
 	}
 	w.rows[at] = append(w.rows[at], x)
 	if *body = fmt.Sprint(x.body); t.typ != onceOnly {
-		w.marks[t.id] = x
+		w.recentWrites[t.id] = x
 	}
-	w.note(judge.Event{Kind: "ran", Router: -1, Txn: t.id, Type: "pay", Key: fmt.Sprintf("%d/%d", t.group, t.key), Node: s.name, Body: *body, Primary: true})
+	w.record(judge.Event{Kind: "ran", Router: -1, Txn: t.id, Type: "pay", Key: fmt.Sprintf("%d/%d", t.group, t.key), Node: s.name, Body: *body, Primary: true})
 	return true
 }
 
-// History is what was written down; Violations lists the rules that it breaks.
+// History returns the recorded events.
 func (f *Fleet) History() []judge.Event { return f.world.history }
 
-// Violations returns the broken rules: those that the judge finds in the history and those that the simulated hosts saw themselves.
+// Violations returns the violations that the judge finds in the history, and those that the simulation saw itself.
 func (f *Fleet) Violations() (out []judge.Finding) {
-	for _, why := range f.world.wrong {
+	for _, why := range f.world.violations {
 		out = append(out, judge.Finding{Rule: "one submission, one answer", Why: why})
 	}
-	history := append(slices.Clone(f.world.history), judge.Event{T: f.now - start, Kind: "late"})
+	history := append(slices.Clone(f.world.history), judge.Event{T: f.now - startTime, Kind: "late"})
 	return append(out, judge.Judge(history).Wrong...)
 }
 
-// ServedShare is the share of the txns that were served.
+// ServedShare returns the share of txns that were answered without an error.
 func (f *Fleet) ServedShare() float64 {
 	sent, served := 0, 0
 	for _, e := range f.world.history {
@@ -153,23 +155,23 @@
 	return float64(served) / float64(max(1, sent))
 }
 
-// begins has faults happen at their times.
-func (f *Fleet) begins(faults []Fault) {
+// scheduleFaults schedules faults at their times.
+func (f *Fleet) scheduleFaults(faults []Fault) {
 	for _, x := range faults {
-		f.At(start+x.At, func() { f.breaks(x) })
+		f.At(startTime+x.At, func() { f.injectFault(x) })
 	}
 }
 
-// listed has all routers learn what discovery has now, each after a while of its own.
-func (f *Fleet) listed() {
+// announceMembers sends the current list of discovery to all routers, each after a random delay.
+func (f *Fleet) announceMembers() {
 	list := f.list()
 	for me := range f.routers {
-		f.At(f.now+listLate*f.rng.Float64(), func() {
+		f.At(f.now+maxListDelay*f.rng.Float64(), func() {
 			r := f.routers[me]
-			r.now(func() {
+			r.runWhenActive(func() {
 				for id, s := range f.servers {
-					if !s.gone {
-						r.names(id, s)
+					if !s.isGone {
+						r.addNode(id, s)
 					}
 				}
 				r.split.UpdateMembers(splitter.ListAll, list)
@@ -178,10 +180,12 @@
 	}
 }
 
-func (f *Fleet) breaks(x Fault) {
+// injectFault starts a fault, and schedules its end if it has one.
+func (f *Fleet) injectFault(x Fault) {
 	w := f.world
 	node := f.servers[x.Node%len(f.servers)]
-	ills := map[string]model.Impairment{"hang": {Hangs: true}, "fail": {ErrorShare: cmp.Or(x.Share, 1)}, "lose": {LostAnswerShare: cmp.Or(x.Share, 0.5)}, "slow": {ExtraLatency: 0.3}, "stand": {ReplicationStalled: true}}
+	impairments := map[string]model.Impairment{"hang": {Hangs: true}, "fail": {ErrorShare: cmp.Or(x.Share, 1)}, "lose": {LostAnswerShare: cmp.Or(x.Share, 0.5)},
+		"slow": {ExtraLatency: 0.3}, "stand": {ReplicationStalled: true}}
 	all := []*server{node}
 	what := x.What
 	if len(what) > 5 && what[:5] == "zone-" {
@@ -197,11 +201,11 @@
 			f.At(f.now+x.For, do)
 		}
 	}
-	w.note(judge.Event{Kind: "fault", Router: -1, What: x.What, Node: node.name, Promote: what == "promote"})
+	w.record(judge.Event{Kind: "fault", Router: -1, What: x.What, Node: node.name, Promote: what == "promote"})
 	switch what {
 	case "hang", "fail", "lose", "slow", "stand":
 		for _, s := range all {
-			s.SetImpairment(ills[what])
+			s.SetImpairment(impairments[what])
 			heal(func() { s.SetImpairment(model.Impairment{}) })
 		}
 	case "crash":
@@ -210,23 +214,23 @@
 		}
 	case "drain":
 		node.state = splitter.Draining
-		w.note(judge.Event{Kind: "told", Router: -1, Node: node.name, What: "Terminating"})
-		f.listed()
+		w.record(judge.Event{Kind: "told", Router: -1, Node: node.name, What: "Terminating"})
+		f.announceMembers()
 	case "replace":
-		if !node.Primary && !node.gone {
-			node.gone = true
-			w.note(judge.Event{Kind: "told", Router: -1, Node: node.name, What: "Gone"})
-			f.add(node.name+"'", node.group, node.zone, falling)
+		if !node.Primary && !node.isGone {
+			node.isGone = true
+			w.record(judge.Event{Kind: "told", Router: -1, Node: node.name, What: "Gone"})
+			f.add(node.name+"'", node.group, node.zone, fragileNode)
 			f.servers[len(f.servers)-1].Restart()
-			f.listed()
+			f.announceMembers()
 		}
 	case "promote":
 		for _, s := range f.servers {
-			if s.group == node.group && s != node && !node.gone && node.state == splitter.On {
+			if s.group == node.group && s != node && !node.isGone && node.state == splitter.On {
 				s.SetPrimary(false)
 			}
 		}
-		node.SetPrimary(node.Primary || !node.gone && node.state == splitter.On)
+		node.SetPrimary(node.Primary || !node.isGone && node.state == splitter.On)
 	case "cut-peers", "cut-nodes":
 		way := x.Zone + ">" + x.To
 		if what == "cut-nodes" {
@@ -236,38 +240,38 @@
 		heal(func() { delete(f.cut, way) })
 	case "loss":
 		f.loss = x.Share
-		heal(func() { f.loss = lossOf })
+		heal(func() { f.loss = defaultLoss })
 	case "holder":
 		w.token++
 		if f.way.Numbers {
-			f.hold(x.Router%len(f.routers), w.token)
+			f.setHolder(x.Router%len(f.routers), w.token)
 		}
 	default:
-		f.breaksRouter(x, heal)
+		f.injectRouterFault(x, heal)
 	}
 }
 
-func (f *Fleet) breaksRouter(x Fault, heal func(func())) {
+func (f *Fleet) injectRouterFault(x Fault, heal func(func())) {
 	w, me := f.world, x.Router%len(f.routers)
 	r := f.routers[me]
 	switch x.What {
 	case "alone":
-		r.alone = true
-		heal(func() { r.alone = false })
+		r.isIsolated = true
+		heal(func() { r.isIsolated = false })
 	case "freeze":
-		r.still = f.now + cmp.Or(x.For, 1)
-		w.note(judge.Event{Kind: "fault", Router: me, What: "freeze", Until: r.still - f.now})
+		r.frozenUntil = f.now + cmp.Or(x.For, 1)
+		w.record(judge.Event{Kind: "fault", Router: me, What: "freeze", Until: r.frozenUntil - f.now})
 	case "kill":
-		r.dead = true
-		w.note(judge.Event{Kind: "end", Router: me, Life: r.life + 1, Until: cmp.Or(x.For, upAfter)})
-		f.At(f.now+cmp.Or(x.For, upAfter), func() {
+		r.isKilled = true
+		w.record(judge.Event{Kind: "end", Router: me, Life: r.life + 1, Until: cmp.Or(x.For, restartDelay)})
+		f.At(f.now+cmp.Or(x.For, restartDelay), func() {
 			if f.routers[me] != r {
 				return
 			}
 			w.lives++
 			f.routers[me] = newRouter(f, me, len(f.routers), f.rng.Int63())
 			f.routers[me].life = w.lives
-			w.note(judge.Event{Kind: "start", Router: me, Life: w.lives + 1})
+			w.record(judge.Event{Kind: "start", Router: me, Life: w.lives + 1})
 		})
 	}
 }
