--- a/fleet/world.go
+++ b/fleet/faults.go
@@ -26,10 +26,10 @@
 	Share  float64 `yaml:"share,omitempty"` // of statements, answers or datagrams
 }
 
-// FaultKinds lists the kinds of faults: of a node (hang, fail, lose, slow, stand, crash, drain, replace, promote), of all nodes of a zone
-// (zone-hang, zone-fail, zone-lose, zone-slow, zone-stand, zone-crash), of the network from a zone to the
-// routers or nodes of another (cut-peers, cut-nodes), of datagrams (loss), of a router (freeze, kill, alone), and a change of
-// the router that numbers the steps (holder).
+// FaultKinds lists the kinds of faults: of a node (hang, fail, lose, slow, stand, crash, drain, replace, promote), of all nodes
+// of a zone (zone-hang, zone-fail, zone-lose, zone-slow, zone-stand, zone-crash), of the network from a zone to the routers or
+// nodes of another (cut-peers, cut-nodes), of datagrams (loss), of a router (freeze, kill, alone), and a change of the router
+// that numbers the steps (holder).
 var FaultKinds = []string{"hang", "fail", "lose", "slow", "stand", "crash", "drain", "replace", "promote", "zone-hang", "zone-fail", "zone-lose", "zone-slow",
 	"zone-stand", "zone-crash", "cut-peers", "cut-nodes", "loss", "freeze", "kill", "alone", "holder"}
 
@@ -50,7 +50,9 @@
 	body int
 }
 
-type world struct {
+// recorder keeps the rows of all groups and records what clients and nodes saw. It notes a violation when a txn has two
+// submissions in flight, or a submission or an answer after its final answer.
+type recorder struct {
 	f            *Fleet
 	history      []judge.Event
 	violations   []string
@@ -61,90 +63,93 @@
 	lives        int
 }
 
-func newWorld(f *Fleet) *world {
-	return &world{f: f, rows: map[[2]int][]row{}, recentWrites: map[string]row{}, done: map[string]bool{}, token: 1}
+func newRecorder(f *Fleet) *recorder {
+	return &recorder{f: f, rows: map[[2]int][]row{}, recentWrites: map[string]row{}, done: map[string]bool{}, token: 1}
 }
 
-func (w *world) record(e judge.Event) {
-	e.T = w.f.now - startTime
-	w.history = append(w.history, e)
+func (rec *recorder) record(e judge.Event) {
+	e.T = rec.f.now - startTime
+	rec.history = append(rec.history, e)
 }
 
-func (w *world) sent(r *router, t *txn, id int) {
-	t.id, t.key = fmt.Sprintf("r%d.%d.%d", r.me, r.life, id), w.f.rng.Intn(keys)
+// sent records that a client sends a txn, and draws its key.
+func (rec *recorder) sent(r *router, t *txn, id int) {
+	t.id, t.key = fmt.Sprintf("r%d.%d.%d", r.me, r.life, id), rec.f.rng.Intn(keys)
 	e := judge.Event{Kind: "send", Router: r.me, Txn: t.id, Type: "look", Key: fmt.Sprintf("%d/%d", t.group, t.key), Wait: 3 * t.sla, Bound: stalenessBound}
 	if t.typ > 0 {
 		e.Type, e.Bound = "pay", 0
 	}
-	w.record(e)
+	rec.record(e)
 }
 
-func (w *world) answered(r *router, t *txn, code, body string) {
+// answered records an answer to a client.
+func (rec *recorder) answered(r *router, t *txn, code, body string) {
 	if t.isAnswered {
-		w.violations = append(w.violations, t.id+" has a second final answer")
+		rec.violations = append(rec.violations, t.id+" has a second final answer")
 	}
-	w.record(judge.Event{Kind: "answer", Router: r.me, Txn: t.id, Code: code, Body: body})
+	rec.record(judge.Event{Kind: "answer", Router: r.me, Txn: t.id, Code: code, Body: body})
 }
 
-func (w *world) submitted(r *router, t *txn) {
+// submitted checks that a router may submit a txn to a node now.
+func (rec *recorder) submitted(r *router, t *txn) {
 	if t.isAnswered {
-		w.violations = append(w.violations, t.id+" is submitted after its final answer")
+		rec.violations = append(rec.violations, t.id+" is submitted after its final answer")
 	}
 	if t.isSubmitted {
-		w.violations = append(w.violations, t.id+" has two submissions out")
+		rec.violations = append(rec.violations, t.id+" has two submissions out")
 	}
 }
 
 // execute runs a statement at a node; it returns false if the node rejects it. A group drops repeats of referenced txns for a
 // window.
-func (w *world) execute(s *server, t *txn, body *string) bool {
+func (rec *recorder) execute(s *server, t *txn, body *string) bool {
 	at := [2]int{t.group, t.key}
 	if t.typ == 0 {
 		a, _ := s.Probe()
-		all := w.rows[at]
+		all := rec.rows[at]
 		if i := sort.Search(len(all), func(i int) bool { return all[i].at > a.Pos }); i > 0 {
 			*body = fmt.Sprint(all[i-1].body)
 		} else {
 			*body = "0"
 		}
-		w.record(judge.Event{Kind: "ran", Router: -1, Txn: t.id, Type: "look", Key: fmt.Sprintf("%d/%d", t.group, t.key), Node: s.name})
+		rec.record(judge.Event{Kind: "ran", Router: -1, Txn: t.id, Type: "look", Key: fmt.Sprintf("%d/%d", t.group, t.key), Node: s.name})
 		return true
 	}
 	if !s.Primary {
 		return false
 	}
-	if m, ok := w.recentWrites[t.id]; ok && w.f.now < m.at+repeatWindow {
+	if m, ok := rec.recentWrites[t.id]; ok && rec.f.now < m.at+repeatWindow {
 		*body = fmt.Sprint(m.body)
 		return true
 	}
-	x := row{w.f.now, 1}
-	if all := w.rows[at]; len(all) > 0 {
+	x := row{rec.f.now, 1}
+	if all := rec.rows[at]; len(all) > 0 {
 		x.body = all[len(all)-1].body + 1
 	}
-	w.rows[at] = append(w.rows[at], x)
+	rec.rows[at] = append(rec.rows[at], x)
 	if *body = fmt.Sprint(x.body); t.typ != onceOnly {
-		w.recentWrites[t.id] = x
+		rec.recentWrites[t.id] = x
 	}
-	w.record(judge.Event{Kind: "ran", Router: -1, Txn: t.id, Type: "pay", Key: fmt.Sprintf("%d/%d", t.group, t.key), Node: s.name, Body: *body, Primary: true})
+	rec.record(judge.Event{Kind: "ran", Router: -1, Txn: t.id, Type: "pay", Key: fmt.Sprintf("%d/%d", t.group, t.key), Node: s.name, Body: *body, Primary: true})
 	return true
 }
 
 // History returns the recorded events.
-func (f *Fleet) History() []judge.Event { return f.world.history }
+func (f *Fleet) History() []judge.Event { return f.recorder.history }
 
 // Violations returns the violations that the judge finds in the history, and those that the simulation saw itself.
 func (f *Fleet) Violations() (out []judge.Finding) {
-	for _, why := range f.world.violations {
+	for _, why := range f.recorder.violations {
 		out = append(out, judge.Finding{Rule: "one submission, one answer", Why: why})
 	}
-	history := append(slices.Clone(f.world.history), judge.Event{T: f.now - startTime, Kind: "late"})
+	history := append(slices.Clone(f.recorder.history), judge.Event{T: f.now - startTime, Kind: "late"})
 	return append(out, judge.Judge(history).Wrong...)
 }
 
 // ServedShare returns the share of txns that were answered without an error.
 func (f *Fleet) ServedShare() float64 {
 	sent, served := 0, 0
-	for _, e := range f.world.history {
+	for _, e := range f.recorder.history {
 		switch {
 		case e.Kind == "send":
 			sent++
@@ -182,7 +187,7 @@
 
 // injectFault starts a fault, and schedules its end if it has one.
 func (f *Fleet) injectFault(x Fault) {
-	w := f.world
+	rec := f.recorder
 	node := f.servers[x.Node%len(f.servers)]
 	impairments := map[string]model.Impairment{"hang": {Hangs: true}, "fail": {ErrorShare: cmp.Or(x.Share, 1)}, "lose": {LostAnswerShare: cmp.Or(x.Share, 0.5)},
 		"slow": {ExtraLatency: 0.3}, "stand": {ReplicationStalled: true}}
@@ -201,7 +206,7 @@
 			f.At(f.now+x.For, do)
 		}
 	}
-	w.record(judge.Event{Kind: "fault", Router: -1, What: x.What, Node: node.name, Promote: what == "promote"})
+	rec.record(judge.Event{Kind: "fault", Router: -1, What: x.What, Node: node.name, Promote: what == "promote"})
 	switch what {
 	case "hang", "fail", "lose", "slow", "stand":
 		for _, s := range all {
@@ -214,12 +219,12 @@
 		}
 	case "drain":
 		node.state = splitter.Draining
-		w.record(judge.Event{Kind: "told", Router: -1, Node: node.name, What: "Terminating"})
+		rec.record(judge.Event{Kind: "told", Router: -1, Node: node.name, What: "Terminating"})
 		f.announceMembers()
 	case "replace":
 		if !node.Primary && !node.isGone {
 			node.isGone = true
-			w.record(judge.Event{Kind: "told", Router: -1, Node: node.name, What: "Gone"})
+			rec.record(judge.Event{Kind: "told", Router: -1, Node: node.name, What: "Gone"})
 			f.add(node.name+"'", node.group, node.zone, fragileNode)
 			f.servers[len(f.servers)-1].Restart()
 			f.announceMembers()
@@ -242,17 +247,18 @@
 		f.loss = x.Share
 		heal(func() { f.loss = defaultLoss })
 	case "holder":
-		w.token++
+		rec.token++
 		if f.way.Numbers {
-			f.setHolder(x.Router%len(f.routers), w.token)
+			f.setHolder(x.Router%len(f.routers), rec.token)
 		}
 	default:
 		f.injectRouterFault(x, heal)
 	}
 }
 
+// injectRouterFault starts a fault of a router.
 func (f *Fleet) injectRouterFault(x Fault, heal func(func())) {
-	w, me := f.world, x.Router%len(f.routers)
+	rec, me := f.recorder, x.Router%len(f.routers)
 	r := f.routers[me]
 	switch x.What {
 	case "alone":
@@ -260,25 +266,25 @@
 		heal(func() { r.isIsolated = false })
 	case "freeze":
 		r.frozenUntil = f.now + cmp.Or(x.For, 1)
-		w.record(judge.Event{Kind: "fault", Router: me, What: "freeze", Until: r.frozenUntil - f.now})
+		rec.record(judge.Event{Kind: "fault", Router: me, What: "freeze", Until: r.frozenUntil - f.now})
 	case "kill":
 		r.isKilled = true
-		w.record(judge.Event{Kind: "end", Router: me, Life: r.life + 1, Until: cmp.Or(x.For, restartDelay)})
+		rec.record(judge.Event{Kind: "end", Router: me, Life: r.life + 1, Until: cmp.Or(x.For, restartDelay)})
 		f.At(f.now+cmp.Or(x.For, restartDelay), func() {
 			if f.routers[me] != r {
 				return
 			}
-			w.lives++
+			rec.lives++
 			f.routers[me] = newRouter(f, me, len(f.routers), f.rng.Int63())
-			f.routers[me].life = w.lives
-			w.record(judge.Event{Kind: "start", Router: me, Life: w.lives + 1})
+			f.routers[me].life = rec.lives
+			rec.record(judge.Event{Kind: "start", Router: me, Life: rec.lives + 1})
 		})
 	}
 }
 
 // SentCount returns how many txns clients sent.
 func (f *Fleet) SentCount() (n int) {
-	for _, e := range f.world.history {
+	for _, e := range f.recorder.history {
 		if e.Kind == "send" {
 			n++
 		}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -113,7 +113,7 @@
 	zoneStatements                                             []int64 // to zone c per half second; the first is the mean before the fault
 	steps                                                      string  // latest steps of the router that numbers them
 	broadcasts                                                 int
-	world                                                      *world // what clients and nodes saw; nil: not recorded
+	recorder                                                   *recorder // what clients and nodes saw; nil: not recorded
 	plant                                                      string
 	cut                                                        map[string]bool
 	loss                                                       float64 // share of datagrams
@@ -264,7 +264,7 @@
 	}
 	var end float64
 	if len(x.Faults) > 0 {
-		f.world = newWorld(f)
+		f.recorder = newRecorder(f)
 		end = startTime + x.For
 		f.scheduleFaults(x.Faults)
 	} else {
@@ -289,7 +289,7 @@
 			if f.rng.Float64() < writeShare {
 				typ = 1
 			}
-			if typ == 1 && f.world != nil && f.rng.Float64() < 0.5 {
+			if typ == 1 && f.recorder != nil && f.rng.Float64() < 0.5 {
 				typ = onceOnly
 			}
 			f.routers[i].arrive(f.rng.Intn(groups), typ)
--- a/fleet/router.go
+++ b/fleet/router.go
@@ -21,8 +21,8 @@
 	isConnected map[int]bool
 	txns        map[int]*txn
 	next        int
-	armed       float64
-	life        int
+	armed       float64 // time of the scheduled step; +Inf: none
+	life        int     // number of restarts over all routers, as of its own start
 	isKilled    bool
 	isIsolated  bool    // no datagram reaches or leaves it
 	frozenUntil float64 // does nothing until then
@@ -119,15 +119,16 @@
 
 // finalAnswer records the final answer of a txn.
 func (r *router) finalAnswer(t *txn, code, body string) {
-	if w := r.f.world; w != nil {
-		w.answered(r, t, code, body)
+	if rec := r.f.recorder; rec != nil {
+		rec.answered(r, t, code, body)
 		if t.isAnswered = true; r.f.plant == "answers twice" && t.typ == onceOnly {
-			w.answered(r, t, code, body)
+			rec.answered(r, t, code, body)
 		}
 	}
 	t.isAnswered = true
 }
 
+// connect opens a connection to a node unless there is one, and reports whether it is new.
 func (r *router) connect(node int) (isNew bool) {
 	if r.isConnected[node] {
 		return false
@@ -141,8 +142,8 @@
 
 func (r *router) Submit(id, node int, until float64, then func(splitter.Result)) {
 	f, s, t, sent := r.f, r.f.servers[node], r.txns[id], r.f.now
-	if w := f.world; w != nil {
-		w.submitted(r, t)
+	if rec := f.recorder; rec != nil {
+		rec.submitted(r, t)
 	}
 	t.isSubmitted = true
 	if f.way.Talk {
@@ -193,8 +194,8 @@
 		return
 	}
 	do := func() bool { return true }
-	if w := f.world; w != nil {
-		do = func() bool { return w.execute(s, t, &body) }
+	if rec := f.recorder; rec != nil {
+		do = func() bool { return rec.execute(s, t, &body) }
 	}
 	if f.plant == "resends" && t.typ == onceOnly {
 		s.Run(false, do, func(model.Answer) {})
@@ -327,8 +328,8 @@
 	id := r.next
 	r.next++
 	t := &txn{arrived: f.now, typ: typ, group: group, sla: []float64{0.4, 1, 1}[typ]}
-	if w := f.world; w != nil {
-		w.sent(r, t, id)
+	if rec := f.recorder; rec != nil {
+		rec.sent(r, t, id)
 	}
 	r.runWhenActive(func() { r.accept(id, t) })
 }
