--- a/proxy/classes_test.go
+++ b/proxy/classes_test.go
@@ -327,7 +327,7 @@
 
 // TestLeavesWhileClassed: a client that closes with a statement on its way is not answered, and nothing is kept of it.
 func TestLeavesWhileClassed(t *testing.T) {
-	f := startFleet(t, ownText, func(g *testserver.Group) { g.Takes = 5 * time.Millisecond })
+	f := startFleet(t, ownText, func(g *testserver.Group) { g.Latency = 5 * time.Millisecond })
 	for i := range 30 {
 		c := f.router.call(t)
 		c.ask(fmt.Sprintf("INSERT INTO t VALUES ('%d', 'x')", i))
@@ -373,7 +373,7 @@
 `
 	f := startFleet(t, own, func(g *testserver.Group) {
 		g.Run = func(string) []byte { return testserver.Row("ok") }
-		g.TakesOf = func(text string) time.Duration {
+		g.LatencyOf = func(text string) time.Duration {
 			if strings.Contains(text, "report") {
 				return 600 * time.Millisecond
 			}
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -113,7 +113,7 @@
 	}
 	ill := g.Nodes()[3]
 	before, from := ill.Asked(), time.Now()
-	ill.Set(fault)
+	ill.SetFault(fault)
 	if *fleetAll {
 		time.Sleep(*fleetFor)
 	} else {
--- a/testserver/bears.go
+++ b/testserver/bears.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Work is what a node bears. The zero value bears all.
-type Work struct {
-	Rate  float64       // statements a second, warm
-	Cold  float64       // share of it right after a start
-	Warm  time.Duration // after which it is whole
-	Falls time.Duration // work that waits, by which it falls over
-	Down  time.Duration // for so long, then it starts cold
+// Capacity is what a node bears. The zero value bears all.
+type Capacity struct {
+	Rate       float64       // statements a second, warm
+	ColdShare  float64       // share of it right after a start
+	WarmUp     time.Duration // after which it is whole
+	MaxBacklog time.Duration // work that waits, by which it falls over
+	Downtime   time.Duration // for so long, then it starts cold
 }
 
 // bears is a node's queue and books.
 type bears struct {
 	mu    sync.Mutex
-	work  Work
+	work  Capacity
 	born  time.Time
 	up    time.Time // it is down before
 	free  time.Time // it has worked off what waits
@@ -28,15 +28,15 @@
 	ran   int64
 }
 
-// Bears has a node bear so much from now on. It is warm.
-func (n *Node) Bears(w Work) {
+// LimitCapacity has a node bear so much from now on. It is warm.
+func (n *Node) LimitCapacity(w Capacity) {
 	n.bears.mu.Lock()
 	defer n.bears.mu.Unlock()
-	n.bears.work, n.bears.born = w, time.Now().Add(-w.Warm)
+	n.bears.work, n.bears.born = w, time.Now().Add(-w.WarmUp)
 }
 
-// Falls tells how often a node has fallen over since it bears only so much.
-func (n *Node) Falls() int {
+// Crashes tells how often a node has fallen over since it bears only so much.
+func (n *Node) Crashes() int {
 	n.bears.mu.Lock()
 	defer n.bears.mu.Unlock()
 	return n.bears.falls
@@ -79,16 +79,16 @@
 	if b.free.Before(now) {
 		b.free = now
 	}
-	if w.Falls > 0 && b.free.Sub(now) > w.Falls {
+	if w.MaxBacklog > 0 && b.free.Sub(now) > w.MaxBacklog {
 		b.falls++
-		b.fall(now, w.Down)
+		b.fall(now, w.Downtime)
 		b.mu.Unlock()
 		n.hangUp()
 		return false
 	}
 	share := 1.0
-	if age := now.Sub(b.born); age < w.Warm {
-		share = w.Cold + (1-w.Cold)*age.Seconds()/w.Warm.Seconds()
+	if age := now.Sub(b.born); age < w.WarmUp {
+		share = w.ColdShare + (1-w.ColdShare)*age.Seconds()/w.WarmUp.Seconds()
 	}
 	b.free = b.free.Add(time.Duration(float64(time.Second) / (w.Rate * share)))
 	b.ran++
--- a/testserver/discovery.go
+++ b/testserver/discovery.go
@@ -22,7 +22,7 @@
 	rev    int64
 	list   []Entry
 	news   chan struct{} // closed when the list changes
-	faces  []*Face
+	faces  []*View
 
 	every   time.Duration // an answer takes it as long, one after the other; 0: no time
 	places  int           // calls that may wait for that: more are refused
@@ -30,9 +30,9 @@
 	refused int64
 }
 
-// Bears has it bear few callers: so many answers a second, and calls that wait for one. More are refused with 503. Watches
+// LimitAnswers has it bear few callers: so many answers a second, and calls that wait for one. More are refused with 503. Watches
 // cost nothing until they are answered.
-func (d *Discovery) Bears(answers float64, waiting int) {
+func (d *Discovery) LimitAnswers(answers float64, waiting int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.every, d.places = time.Duration(float64(time.Second)/answers), waiting
@@ -64,8 +64,8 @@
 	return true
 }
 
-// Face is the discovery as one router sees it: at an address of its own, with endpoints of its own.
-type Face struct {
+// View is the discovery as one router sees it: at an address of its own, with endpoints of its own.
+type View struct {
 	d      *Discovery
 	ln     net.Listener
 	server *http.Server
@@ -81,13 +81,13 @@
 	return d.rev
 }
 
-// Face opens one. seen gives an entry the endpoint that the router is to use.
-func (d *Discovery) Face(seen func(Entry) Entry) (*Face, error) {
+// NewView opens one. seen gives an entry the endpoint that the router is to use.
+func (d *Discovery) NewView(seen func(Entry) Entry) (*View, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f := &Face{d: d, ln: ln, seen: seen}
+	f := &View{d: d, ln: ln, seen: seen}
 	f.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.calls.Add(1)
 		d.answer(w, r, f)
@@ -99,15 +99,15 @@
 	return f, nil
 }
 
-// Addr tells where it listens, Calls how many calls have come, Told the newest revision that went out.
-func (f *Face) Addr() string { return f.ln.Addr().String() }
+// Addr tells where it listens, Calls how many calls have come, SentRev the newest revision that went out.
+func (f *View) Addr() string { return f.ln.Addr().String() }
 
-func (f *Face) Calls() int64 { return f.calls.Load() }
+func (f *View) Calls() int64 { return f.calls.Load() }
 
-func (f *Face) Told() int64 { return f.told.Load() }
+func (f *View) SentRev() int64 { return f.told.Load() }
 
 // List is the list as JSON, as this router sees it.
-func (f *Face) List() json.RawMessage { return f.d.listed(f) }
+func (f *View) List() json.RawMessage { return f.d.listed(f) }
 
 // Entry is a node in the list, in discovery's form.
 type Entry struct {
@@ -165,8 +165,8 @@
 	d.news = make(chan struct{})
 }
 
-// Set changes the state of a node: Ready, Terminating or Gone.
-func (d *Discovery) Set(uid, state string) {
+// SetState changes the state of a node: Ready, Terminating or Gone.
+func (d *Discovery) SetState(uid, state string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range d.list {
@@ -180,7 +180,7 @@
 // List is the list as JSON, as a router's configuration has it.
 func (d *Discovery) List() json.RawMessage { return d.listed(nil) }
 
-func (d *Discovery) listed(f *Face) json.RawMessage {
+func (d *Discovery) listed(f *View) json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := slices.Clone(d.list)
@@ -195,7 +195,7 @@
 
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) { d.answer(w, r, nil) }
 
-func (d *Discovery) answer(w http.ResponseWriter, r *http.Request, f *Face) {
+func (d *Discovery) answer(w http.ResponseWriter, r *http.Request, f *View) {
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	d.mu.Lock()
--- a/testserver/node.go
+++ b/testserver/node.go
@@ -19,8 +19,8 @@
 	"eiderway/pgwire"
 )
 
-// Ran is a statement that a node ran, in the order of a group's history.
-type Ran struct {
+// Execution is a statement that a node ran, in the order of a group's history.
+type Execution struct {
 	Node    string
 	Primary bool
 	Text    string
@@ -29,17 +29,17 @@
 
 // Group is a primary and its replicas. Its lock is over all that they hold.
 type Group struct {
-	Number  int
-	Lag     time.Duration                   // replicas apply a commit this late
-	Writes  func(text string) bool          // which statements a replica refuses; nil: by their first word
-	Run     func(text string) []byte        // what a statement answers; nil: by the rows the group keeps
-	Takes   time.Duration                   // a statement takes as long
-	TakesOf func(text string) time.Duration // or as long as this says
+	Number    int
+	Lag       time.Duration                   // replicas apply a commit this late
+	Writes    func(text string) bool          // which statements a replica refuses; nil: by their first word
+	Run       func(text string) []byte        // what a statement answers; nil: by the rows the group keeps
+	Latency   time.Duration                   // a statement takes as long
+	LatencyOf func(text string) time.Duration // or as long as this says
 
 	mu    sync.Mutex
 	nodes []*Node
 	log   []commit
-	ran   []Ran
+	ran   []Execution
 	all   sync.WaitGroup
 }
 
@@ -77,8 +77,8 @@
 	Loses         // runs all and loses every second answer
 )
 
-// Twin starts another replica of a node's group and zone, under a name of its own.
-func (n *Node) Twin() (*Node, error) {
+// AddReplica starts another replica of a node's group and zone, under a name of its own.
+func (n *Node) AddReplica() (*Node, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -92,11 +92,11 @@
 	return twin, nil
 }
 
-// Slow has each statement take longer, by so much.
-func (n *Node) Slow(by time.Duration) { n.takes.Store(int64(by)) }
+// SetExtraLatency has each statement take longer, by so much.
+func (n *Node) SetExtraLatency(by time.Duration) { n.takes.Store(int64(by)) }
 
-// Stick has a node's position stand still: it applies no commit any more, though it answers. Off: it goes on.
-func (n *Node) Stick(on bool) {
+// FreezePosition has a node's position stand still: it applies no commit any more, though it answers. Off: it goes on.
+func (n *Node) FreezePosition(on bool) {
 	if on {
 		n.stuck.Store(time.Now().UnixNano())
 	} else {
@@ -111,8 +111,8 @@
 	g.log = append(g.log, commit{table: table, key: key, body: body})
 }
 
-// Set gives a node a trouble, or ends it.
-func (n *Node) Set(f Fault) { n.fault.Store(int32(f)) }
+// SetFault gives a node a trouble, or ends it.
+func (n *Node) SetFault(f Fault) { n.fault.Store(int32(f)) }
 
 // LastAsked tells when the newest of them came.
 func (n *Node) LastAsked() time.Time { return time.Unix(0, n.last.Load()) }
@@ -144,7 +144,7 @@
 }
 
 // History tells what was run so far.
-func (g *Group) History() []Ran {
+func (g *Group) History() []Execution {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.ran)
@@ -296,9 +296,9 @@
 	case text == "SELECT 1":
 		return status(append(Row("1"), out...))
 	}
-	takes := g.Takes
-	if g.TakesOf != nil {
-		takes = g.TakesOf(text)
+	takes := g.Latency
+	if g.LatencyOf != nil {
+		takes = g.LatencyOf(text)
 	}
 	if takes += time.Duration(n.takes.Load()); takes > 0 {
 		time.Sleep(takes)
@@ -315,7 +315,7 @@
 	if primary && writes(text) { // as the log has it: of two writes of a row the later one by this time is what stays
 		at = time.Now()
 	}
-	g.ran = append(g.ran, Ran{n.Name, primary, text, at})
+	g.ran = append(g.ran, Execution{n.Name, primary, text, at})
 	if !primary && writes(text) {
 		return status(append(out, pgwire.AppendError(nil, "ERROR", "25006", "cannot execute "+first+" in a read-only transaction", "")...))
 	}
@@ -454,12 +454,12 @@
 }
 
 // Misplaced tells the statements of a history that a replica ran though they write, by a judge of the caller's.
-func Misplaced(history []Ran, writes func(string) bool) (out []Ran) {
+func Misplaced(history []Execution, writes func(string) bool) (out []Execution) {
 	for _, r := range history {
 		if !r.Primary && writes(r.Text) {
 			out = append(out, r)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Ran) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortStableFunc(out, func(a, b Execution) int { return cmp.Compare(a.Node, b.Node) })
 	return out
 }
--- a/trial/faults.go
+++ b/trial/faults.go
@@ -348,7 +348,7 @@
 		return err
 	}
 	for _, old := range nodes {
-		n, err := old.Twin()
+		n, err := old.AddReplica()
 		if err != nil {
 			return err
 		}
@@ -361,15 +361,15 @@
 			x.links[n.Name] = l
 			r.mu.Unlock()
 		}
-		n.Slow(cold)
+		n.SetExtraLatency(cold)
 		r.note(judge.Event{Kind: "fault", Router: -1, Node: old.Name, What: f.What, Text: n.Name})
 		r.list.Add(n)
-		r.list.Set(old.Name, "Terminating")
+		r.list.SetState(old.Name, "Terminating")
 		r.note(judge.Event{Kind: "told", Router: -1, Node: old.Name, What: "Terminating"})
 		r.later(ctx, max(f.span, time.Millisecond), func() {
-			r.list.Set(old.Name, "Gone")
+			r.list.SetState(old.Name, "Gone")
 			old.Stop()
-			n.Slow(0)
+			n.SetExtraLatency(0)
 		})
 	}
 	return nil
@@ -419,7 +419,7 @@
 				r.mu.Lock()
 				out := x.stopped || x.proc.frozen
 				r.mu.Unlock()
-				if told := x.face.Told(); told < rev && !out {
+				if told := x.face.SentRev(); told < rev && !out {
 					missing++
 				}
 			}
@@ -440,22 +440,22 @@
 	for _, n := range nodes {
 		r.note(judge.Event{Kind: "fault", Router: -1, Node: n.Name, What: f.What, Until: f.span.Seconds()})
 		heal := func() {
-			n.Set(testserver.Healthy)
-			n.Slow(0)
-			n.Stick(false)
+			n.SetFault(testserver.Healthy)
+			n.SetExtraLatency(0)
+			n.FreezePosition(false)
 		}
 		switch f.What {
 		case "heal":
 			heal()
 			continue
 		case "hang":
-			n.Set(testserver.Hangs)
+			n.SetFault(testserver.Hangs)
 		case "fail":
-			n.Set(testserver.Fails)
+			n.SetFault(testserver.Fails)
 		case "lose":
-			n.Set(testserver.Loses)
+			n.SetFault(testserver.Loses)
 		case "stick":
-			n.Stick(true)
+			n.FreezePosition(true)
 		case "cold": // its process is down for a time, and comes back cold
 			n.Restart(f.span)
 			continue
@@ -464,14 +464,14 @@
 			if err != nil {
 				return err
 			}
-			n.Slow(by)
+			n.SetExtraLatency(by)
 		case "drain-node", "undrain-node":
 			state := map[string]string{"drain-node": "Terminating", "undrain-node": "Ready"}[f.What]
-			r.list.Set(n.Name, state)
+			r.list.SetState(n.Name, state)
 			r.spreads(ctx, n.Name)
 			r.note(judge.Event{Kind: "told", Router: -1, Node: n.Name, What: state})
 			heal = func() {
-				r.list.Set(n.Name, "Ready")
+				r.list.SetState(n.Name, "Ready")
 				r.note(judge.Event{Kind: "told", Router: -1, Node: n.Name, What: "Ready"})
 			}
 		}
--- a/trial/rig.go
+++ b/trial/rig.go
@@ -106,7 +106,7 @@
 	gossip  string // a section of own
 	key     string
 	socket  string
-	face    *testserver.Face
+	face    *testserver.View
 	disc    *link
 	links   map[string]*link // by node
 	proc    *process
@@ -207,7 +207,7 @@
 	res.Refused = r.list.Refused()
 	for _, g := range r.groups {
 		for _, n := range g.Nodes() {
-			res.Falls += n.Falls()
+			res.Falls += n.Crashes()
 		}
 	}
 	for _, e := range events {
@@ -310,7 +310,7 @@
 		for k, n := range g.Nodes() {
 			if f.Bears > 0 {
 				warm, _ := span(f.Warm, 0)
-				n.Bears(testserver.Work{Rate: f.Bears, Cold: f.Cold, Warm: warm, Falls: fallsAt, Down: downFor})
+				n.LimitCapacity(testserver.Capacity{Rate: f.Bears, ColdShare: f.Cold, WarmUp: warm, MaxBacklog: fallsAt, Downtime: downFor})
 			}
 			if n.Zone = f.Zones[(i+k)%len(f.Zones)]; f.Still {
 				n.Zone = f.Zones[k%len(f.Zones)]
@@ -326,7 +326,7 @@
 		return err
 	}
 	if d := r.spec.Discovery; d.Bears > 0 {
-		r.list.Bears(d.Bears, d.Waiting)
+		r.list.LimitAnswers(d.Bears, d.Waiting)
 	}
 	for n := range f.Routers {
 		x := &router{n: n, zone: f.Zones[n%len(f.Zones)], links: map[string]*link{}}
@@ -342,7 +342,7 @@
 				}
 			}
 		}
-		if x.face, err = r.list.Face(func(e testserver.Entry) testserver.Entry {
+		if x.face, err = r.list.NewView(func(e testserver.Entry) testserver.Entry {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			e.Endpoint = x.links[e.UID].addr()
