--- a/testserver/client.go
+++ b/testserver/client.go
@@ -1,6 +1,6 @@
 package testserver
 
-// This file owns a client: one connection, one simple query at a time. It never retries.
+// This file holds a client with one connection that sends one simple query at a time and never retries.
 
 import (
 	"net"
@@ -17,13 +17,13 @@
 
 // Answer is what came back for a query, up to ReadyForQuery.
 type Answer struct {
-	Kinds string // the types of its messages
+	Kinds string // the type bytes of its messages, in order
 	Value string // the first column of the last row
-	Code  string // of an error
-	Text  string // of an error
+	Code  string // SQLSTATE of the last error
+	Text  string // message of the last error
 }
 
-// Dial connects and greets.
+// Dial connects, sends the startup message and waits until the server is ready for queries.
 func Dial(addr string, within time.Duration) (*Client, error) {
 	nc, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return c, nil
 }
 
-// Ask sends a query and waits for its answer.
+// Ask sends a simple query and waits for its answer.
 func (c *Client) Ask(text string, within time.Duration) (Answer, error) {
 	c.nc.SetDeadline(time.Now().Add(within))
 	if _, err := c.nc.Write(pgwire.AppendQuery(nil, text)); err != nil {
@@ -53,6 +53,7 @@
 // Close ends the connection.
 func (c *Client) Close() { c.nc.Close() }
 
+// read reads messages up to and including ReadyForQuery.
 func (c *Client) read() (a Answer, err error) {
 	for {
 		m, ok, err := c.buf.Next()
@@ -80,7 +81,7 @@
 	}
 }
 
-// More tells whether more has come than the answer that was taken.
+// More reports whether the server has sent anything beyond the answer that was read last.
 func (c *Client) More() bool {
 	if c.buf.Unread() > 0 {
 		return true
--- a/testserver/discovery.go
+++ b/testserver/discovery.go
@@ -1,6 +1,6 @@
 package testserver
 
-// This file owns the discovery: it hands out the list of the groups' nodes, and news of it.
+// This file simulates the discovery service: it serves the list of the groups' nodes, also to long polls that wait for a change.
 
 import (
 	"cmp"
@@ -16,100 +16,102 @@
 
 // Discovery serves a list of nodes over HTTP.
 type Discovery struct {
-	ln     net.Listener
-	server *http.Server
-	mu     sync.Mutex
-	rev    int64
-	list   []Entry
-	news   chan struct{} // closed when the list changes
-	faces  []*View
-
-	every   time.Duration // an answer takes it as long, one after the other; 0: no time
-	places  int           // calls that may wait for that: more are refused
-	free    time.Time     // when it is done with those that wait
-	refused int64
+	ln      net.Listener
+	server  *http.Server
+	mu      sync.Mutex
+	rev     int64
+	list    []Entry
+	changed chan struct{} // closed when the list changes
+	views   []*View
+
+	interval   time.Duration // time per answer; answers are given one at a time; 0: no limit
+	maxWaiting int           // calls that may queue for an answer: more are refused
+	idleAt     time.Time     // when the queued calls will have been answered
+	refused    int64
 }
 
-// LimitAnswers has it bear few callers: so many answers a second, and calls that wait for one. More are refused with 503. Watches
-// cost nothing until they are answered.
-func (d *Discovery) LimitAnswers(answers float64, waiting int) {
+// LimitAnswers limits the answers a second and the calls that may queue for one. Further calls are refused with 503. Long
+// polls count only once they are answered.
+func (d *Discovery) LimitAnswers(answersPerSecond float64, maxWaiting int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.every, d.places = time.Duration(float64(time.Second)/answers), waiting
+	d.interval, d.maxWaiting = time.Duration(float64(time.Second)/answersPerSecond), maxWaiting
 }
 
-// Refused tells how many calls were.
+// Refused returns how many calls were refused because too many were queued.
 func (d *Discovery) Refused() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refused
 }
 
-// turn waits for a call's place; false: there is none.
-func (d *Discovery) turn() bool {
+// waitForTurn queues a call and waits for its turn to be answered. It returns false if the queue is full.
+func (d *Discovery) waitForTurn() bool {
 	d.mu.Lock()
 	now := time.Now()
-	if d.every > 0 && d.free.Sub(now) > time.Duration(d.places)*d.every {
+	if d.interval > 0 && d.idleAt.Sub(now) > time.Duration(d.maxWaiting)*d.interval {
 		d.refused++
 		d.mu.Unlock()
 		return false
 	}
-	if d.free.Before(now) {
-		d.free = now
+	if d.idleAt.Before(now) {
+		d.idleAt = now
 	}
-	d.free = d.free.Add(d.every)
-	wait := d.free.Sub(now)
+	d.idleAt = d.idleAt.Add(d.interval)
+	wait := d.idleAt.Sub(now)
 	d.mu.Unlock()
 	time.Sleep(wait)
 	return true
 }
 
-// View is the discovery as one router sees it: at an address of its own, with endpoints of its own.
+// View is the discovery service as one router sees it, with its own address and its own endpoints for the nodes.
 type View struct {
-	d      *Discovery
-	ln     net.Listener
-	server *http.Server
-	seen   func(Entry) Entry
-	calls  atomic.Int64
-	told   atomic.Int64 // the newest revision that went out
+	d       *Discovery
+	ln      net.Listener
+	server  *http.Server
+	rewrite func(Entry) Entry
+	calls   atomic.Int64
+	sentRev atomic.Int64 // newest revision that was sent
 }
 
-// Rev tells the newest revision.
+// Rev returns the newest revision of the list.
 func (d *Discovery) Rev() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rev
 }
 
-// NewView opens one. seen gives an entry the endpoint that the router is to use.
-func (d *Discovery) NewView(seen func(Entry) Entry) (*View, error) {
+// NewView starts a view. The function rewrite sets the endpoint of an entry to the one that the router is to use.
+func (d *Discovery) NewView(rewrite func(Entry) Entry) (*View, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f := &View{d: d, ln: ln, seen: seen}
-	f.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.calls.Add(1)
-		d.answer(w, r, f)
+	v := &View{d: d, ln: ln, rewrite: rewrite}
+	v.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		v.calls.Add(1)
+		d.answer(w, r, v)
 	})}
-	go f.server.Serve(ln)
+	go v.server.Serve(ln)
 	d.mu.Lock()
-	d.faces = append(d.faces, f)
+	d.views = append(d.views, v)
 	d.mu.Unlock()
-	return f, nil
+	return v, nil
 }
 
-// Addr tells where it listens, Calls how many calls have come, SentRev the newest revision that went out.
-func (f *View) Addr() string { return f.ln.Addr().String() }
+// Addr returns the address that the view listens on.
+func (v *View) Addr() string { return v.ln.Addr().String() }
 
-func (f *View) Calls() int64 { return f.calls.Load() }
+// Calls returns the number of calls received.
+func (v *View) Calls() int64 { return v.calls.Load() }
 
-func (f *View) SentRev() int64 { return f.told.Load() }
+// SentRev returns the newest revision that was sent.
+func (v *View) SentRev() int64 { return v.sentRev.Load() }
 
-// List is the list as JSON, as this router sees it.
-func (f *View) List() json.RawMessage { return f.d.listed(f) }
+// List returns the list as JSON, as this router sees it.
+func (v *View) List() json.RawMessage { return v.d.encodeList(v) }
 
-// Entry is a node in the list, in discovery's form.
+// Entry is a node in the list, in the JSON format of the discovery service.
 type Entry struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`
@@ -119,13 +121,13 @@
 	Boot     int64  `json:"boot_ms"`
 }
 
-// NewDiscovery starts one with the nodes of groups.
+// NewDiscovery starts a discovery service that lists the nodes of the groups, all ready.
 func NewDiscovery(groups ...*Group) (*Discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{ln: ln, rev: 1, news: make(chan struct{})}
+	d := &Discovery{ln: ln, rev: 1, changed: make(chan struct{})}
 	for _, g := range groups {
 		for _, n := range g.nodes {
 			d.list = append(d.list, Entry{UID: n.Name, Endpoint: n.Addr(), Zone: cmp.Or(n.Zone, "a"), Group: g.Number, State: "Ready"})
@@ -136,33 +138,33 @@
 	return d, nil
 }
 
-// Addr tells where it listens.
+// Addr returns the address that the service listens on.
 func (d *Discovery) Addr() string { return d.ln.Addr().String() }
 
-// Close ends it.
+// Close stops the service and its views.
 func (d *Discovery) Close() {
 	d.server.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, f := range d.faces {
-		f.server.Close()
+	for _, v := range d.views {
+		v.server.Close()
 	}
 }
 
-// Add lists another node, which is ready.
+// Add adds a ready node to the list.
 func (d *Discovery) Add(n *Node) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list = append(d.list, Entry{UID: n.Name, Endpoint: n.Addr(), Zone: cmp.Or(n.Zone, "a"), Group: n.group.Number, State: "Ready",
 		Boot: time.Now().UnixMilli()})
-	d.changed()
+	d.publish()
 }
 
-// changed makes a new revision of the list. Its lock is held.
-func (d *Discovery) changed() {
+// publish makes a new revision of the list and wakes the long polls. The caller holds d.mu.
+func (d *Discovery) publish() {
 	d.rev++
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // SetState changes the state of a node: Ready, Terminating or Gone.
@@ -174,19 +176,20 @@
 			d.list[i].State = state
 		}
 	}
-	d.changed()
+	d.publish()
 }
 
-// List is the list as JSON, as a router's configuration has it.
-func (d *Discovery) List() json.RawMessage { return d.listed(nil) }
+// List returns the list as JSON, in the form that a router's configuration takes.
+func (d *Discovery) List() json.RawMessage { return d.encodeList(nil) }
 
-func (d *Discovery) listed(f *View) json.RawMessage {
+// encodeList returns the list as JSON, as the view shows it if there is one.
+func (d *Discovery) encodeList(v *View) json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := slices.Clone(d.list)
-	if f != nil {
+	if v != nil {
 		for i := range list {
-			list[i] = f.seen(list[i])
+			list[i] = v.rewrite(list[i])
 		}
 	}
 	text, _ := json.Marshal(map[string]any{"rev": d.rev, "all": true, "targets": list})
@@ -195,19 +198,20 @@
 
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) { d.answer(w, r, nil) }
 
-func (d *Discovery) answer(w http.ResponseWriter, r *http.Request, f *View) {
+// answer sends the list. A call that already has the newest revision is held for up to hold_ms until the list changes.
+func (d *Discovery) answer(w http.ResponseWriter, r *http.Request, v *View) {
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	d.mu.Lock()
-	rev, news := d.rev, d.news
+	rev, changed := d.rev, d.changed
 	d.mu.Unlock()
 	if rev <= from && hold > 0 {
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		case <-time.After(time.Duration(hold) * time.Millisecond):
-			if !d.turn() {
+			if !d.waitForTurn() {
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return
 			}
@@ -215,14 +219,14 @@
 			return
 		}
 	}
-	if !d.turn() {
+	if !d.waitForTurn() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	w.Write(d.listed(f))
-	if f != nil {
+	w.Write(d.encodeList(v))
+	if v != nil {
 		d.mu.Lock()
-		f.told.Store(d.rev)
+		v.sentRev.Store(d.rev)
 		d.mu.Unlock()
 	}
 }
--- a/testserver/node.go
+++ b/testserver/node.go
@@ -1,9 +1,9 @@
-// Package testserver has stand-ins of the outside on loopback, for tests, demonstrations and experiments: nodes that keep
-// rows and apply a log, a discovery that hands out their list, and a history of what each of them ran. It judges
-// nothing, and must never be part of a router.
+// Package testserver simulates a router's surroundings on loopback, for tests, demonstrations and experiments: database
+// nodes that keep rows and apply a log, a discovery service that lists them, and a history of the statements that each
+// node executed. It checks nothing itself and must never be part of a router.
 package testserver
 
-// This file owns a group of nodes: a primary, its log, and replicas that apply it late.
+// This file simulates a group of nodes: a primary, its log, and replicas that apply the log with a lag.
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	"eiderway/pgwire"
 )
 
-// Execution is a statement that a node ran, in the order of a group's history.
+// Execution is one statement that a node executed, or refused as a write on a replica.
 type Execution struct {
 	Node    string
 	Primary bool
@@ -27,57 +27,57 @@
 	At      time.Time
 }
 
-// Group is a primary and its replicas. Its lock is over all that they hold.
+// Group is a primary and its replicas. Its mutex guards their shared state.
 type Group struct {
 	Number    int
-	Lag       time.Duration                   // replicas apply a commit this late
-	Writes    func(text string) bool          // which statements a replica refuses; nil: by their first word
-	Run       func(text string) []byte        // what a statement answers; nil: by the rows the group keeps
-	Latency   time.Duration                   // a statement takes as long
-	LatencyOf func(text string) time.Duration // or as long as this says
-
-	mu    sync.Mutex
-	nodes []*Node
-	log   []commit
-	ran   []Execution
-	all   sync.WaitGroup
+	Lag       time.Duration                   // delay after which replicas apply a commit
+	Writes    func(text string) bool          // reports whether a replica refuses the statement; nil: judged by its first word
+	Run       func(text string) []byte        // returns the result of a statement; nil: taken from the group's rows
+	Latency   time.Duration                   // execution time of a statement
+	LatencyOf func(text string) time.Duration // execution time by statement; replaces Latency unless nil
+
+	mu         sync.Mutex
+	nodes      []*Node
+	log        []commit
+	history    []Execution
+	goroutines sync.WaitGroup
 }
 
-// commit is a row as it stood from a time on.
+// commit is one committed change of a row.
 type commit struct {
 	at        time.Time
 	table     string
 	key, body string
-	gone      bool
+	deleted   bool
 }
 
-// Node is a server of PostgreSQL's protocol: simple queries, no password.
+// Node is a server of the PostgreSQL protocol that takes simple queries and asks for no password.
 type Node struct {
-	Name    string
-	group   *Group
-	ln      net.Listener
-	primary bool
-	open    map[net.Conn]bool
-	fault   atomic.Int32
-	asked   atomic.Int64
-	last    atomic.Int64 // Unix ns of the newest of them
-	takes   atomic.Int64 // ns that a statement takes beyond the group's time
-	stuck   atomic.Int64 // Unix ns at which its position stands still; 0: it does not
-	Zone    string       // as discovery tells it; "" is a
-	bears   bears
+	Name         string
+	group        *Group
+	ln           net.Listener
+	primary      bool
+	open         map[net.Conn]bool
+	fault        atomic.Int32
+	asked        atomic.Int64 // statements received, without probes
+	lastAsked    atomic.Int64 // when the newest of them was received, in Unix ns
+	extraLatency atomic.Int64 // ns that a statement takes beyond the group's latency
+	frozenAt     atomic.Int64 // time at which its replication position is frozen, in Unix ns; 0: it isn't
+	Zone         string       // zone that discovery lists; empty: a
+	load         load
 }
 
-// Fault is a trouble of a node.
+// Fault is the way in which a node misbehaves.
 type Fault int32
 
 const (
 	Healthy Fault = iota
-	Hangs         // takes all and answers nothing
-	Fails         // fails all at once but probes
-	Loses         // runs all and loses every second answer
+	Hangs         // accepts everything and answers nothing
+	Fails         // fails every statement at once, but answers probes
+	Loses         // executes everything and loses every second answer
 )
 
-// AddReplica starts another replica of a node's group and zone, under a name of its own.
+// AddReplica starts another replica in the group and zone of n, with its own name.
 func (n *Node) AddReplica() (*Node, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,42 +85,42 @@
 	}
 	g := n.group
 	g.mu.Lock()
-	twin := &Node{Name: fmt.Sprintf("g%d-n%d", g.Number, len(g.nodes)), Zone: n.Zone, group: g, ln: ln, open: map[net.Conn]bool{}}
-	g.nodes = append(g.nodes, twin)
+	replica := &Node{Name: fmt.Sprintf("g%d-n%d", g.Number, len(g.nodes)), Zone: n.Zone, group: g, ln: ln, open: map[net.Conn]bool{}}
+	g.nodes = append(g.nodes, replica)
 	g.mu.Unlock()
-	g.all.Go(twin.accept)
-	return twin, nil
+	g.goroutines.Go(replica.accept)
+	return replica, nil
 }
 
-// SetExtraLatency has each statement take longer, by so much.
-func (n *Node) SetExtraLatency(by time.Duration) { n.takes.Store(int64(by)) }
+// SetExtraLatency makes each statement on the node take longer by this time.
+func (n *Node) SetExtraLatency(extra time.Duration) { n.extraLatency.Store(int64(extra)) }
 
-// FreezePosition has a node's position stand still: it applies no commit any more, though it answers. Off: it goes on.
-func (n *Node) FreezePosition(on bool) {
-	if on {
-		n.stuck.Store(time.Now().UnixNano())
+// FreezePosition stops a replica from applying commits, although it keeps answering, or lets it catch up again.
+func (n *Node) FreezePosition(freeze bool) {
+	if freeze {
+		n.frozenAt.Store(time.Now().UnixNano())
 	} else {
-		n.stuck.Store(0)
+		n.frozenAt.Store(0)
 	}
 }
 
-// Put has a row stand from the beginning.
+// Put adds a row that all nodes have from the beginning.
 func (g *Group) Put(table, key, body string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.log = append(g.log, commit{table: table, key: key, body: body})
 }
 
-// SetFault gives a node a trouble, or ends it.
+// SetFault sets the fault of a node; Healthy ends it.
 func (n *Node) SetFault(f Fault) { n.fault.Store(int32(f)) }
 
-// LastAsked tells when the newest of them came.
-func (n *Node) LastAsked() time.Time { return time.Unix(0, n.last.Load()) }
+// LastAsked returns when the newest statement other than a probe was received.
+func (n *Node) LastAsked() time.Time { return time.Unix(0, n.lastAsked.Load()) }
 
-// Asked tells how many statements, probes left out, have come.
+// Asked returns how many statements other than probes were received.
 func (n *Node) Asked() int64 { return n.asked.Load() }
 
-// NewGroup starts a primary and replicas.
+// NewGroup starts a primary and this many replicas.
 func NewGroup(number, replicas int) (*Group, error) {
 	g := &Group{Number: number}
 	for i := range replicas + 1 {
@@ -131,26 +131,26 @@
 		}
 		n := &Node{Name: fmt.Sprintf("g%d-n%d", number, i), group: g, ln: ln, primary: i == 0, open: map[net.Conn]bool{}}
 		g.nodes = append(g.nodes, n)
-		g.all.Go(n.accept)
+		g.goroutines.Go(n.accept)
 	}
 	return g, nil
 }
 
-// Nodes tells the group's nodes, the primary first as it was made.
+// Nodes returns the group's nodes in the order in which they were started, the initial primary first.
 func (g *Group) Nodes() []*Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.nodes)
 }
 
-// History tells what was run so far.
+// History returns what was executed so far, in order.
 func (g *Group) History() []Execution {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.ran)
+	return slices.Clone(g.history)
 }
 
-// Promote makes another node the primary.
+// Promote makes node i the only primary.
 func (g *Group) Promote(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -159,15 +159,15 @@
 	}
 }
 
-// Close ends the nodes and waits until they have.
+// Close stops the nodes and waits until they have ended.
 func (g *Group) Close() {
 	for _, n := range g.Nodes() {
 		n.Stop()
 	}
-	g.all.Wait()
+	g.goroutines.Wait()
 }
 
-// Stop acts as a process that dies.
+// Stop closes the listener and all connections, as when the process dies.
 func (n *Node) Stop() {
 	n.ln.Close()
 	n.group.mu.Lock()
@@ -177,23 +177,24 @@
 	}
 }
 
-// Addr tells where a node listens.
+// Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
 
+// accept serves connections until the listener is closed.
 func (n *Node) accept() {
 	for {
 		nc, err := n.ln.Accept()
 		if err != nil {
 			return
 		}
-		if n.bears.down() {
+		if n.load.isDown() {
 			nc.Close()
 			continue
 		}
 		n.group.mu.Lock()
 		n.open[nc] = true
 		n.group.mu.Unlock()
-		n.group.all.Go(func() {
+		n.group.goroutines.Go(func() {
 			n.serve(nc)
 			nc.Close()
 			n.group.mu.Lock()
@@ -203,6 +204,7 @@
 	}
 }
 
+// serve greets a client and answers its queries until the connection ends or the node goes down.
 func (n *Node) serve(nc net.Conn) {
 	var buf pgwire.Buffer
 	for {
@@ -228,13 +230,13 @@
 			count := n.asked.Load()
 			if !probe {
 				count = n.asked.Add(1)
-				n.last.Store(time.Now().UnixNano())
+				n.lastAsked.Store(time.Now().UnixNano())
 			}
 			switch f := Fault(n.fault.Load()); {
 			case f == Hangs:
 			case f == Fails && !probe:
 				out = append(out, pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "XX000", "a fault", ""))...)
-			case !probe && !n.turn():
+			case !probe && !n.waitForTurn():
 				return
 			case f == Loses && !probe && count%2 == 0:
 				n.answer(state, text)
@@ -255,13 +257,13 @@
 	}
 }
 
-// session is what statements leave behind on a connection.
+// session is the state of a connection that statements change.
 type session struct {
-	path   string // search_path
-	inside bool   // a transaction
+	setting       string // text of the last SET, which SHOW answers
+	inTransaction bool
 }
 
-// answer runs a query string.
+// answer executes a query string and returns the messages that answer it, with the node's mode and position.
 func (n *Node) answer(s *session, text string) []byte {
 	g := n.group
 	g.mu.Lock()
@@ -271,14 +273,14 @@
 	mode, pos := "read-write", now
 	if !primary {
 		mode, pos = "read-only", now.Add(-g.Lag)
-		if at := n.stuck.Load(); at > 0 && at < pos.UnixNano() {
+		if at := n.frozenAt.Load(); at > 0 && at < pos.UnixNano() {
 			pos = time.Unix(0, at)
 		}
 	}
 	out := pgwire.Append(nil, 'S', "mode\x00"+mode+"\x00")
 	out = pgwire.Append(out, 'S', fmt.Sprintf("wal_time\x00%d\x00", pos.UnixMilli()))
 	status := func(b []byte) []byte {
-		if s.inside {
+		if s.inTransaction {
 			return pgwire.Append(b, 'Z', "T")
 		}
 		return pgwire.AppendReady(b)
@@ -296,12 +298,12 @@
 	case text == "SELECT 1":
 		return status(append(Row("1"), out...))
 	}
-	takes := g.Latency
+	latency := g.Latency
 	if g.LatencyOf != nil {
-		takes = g.LatencyOf(text)
+		latency = g.LatencyOf(text)
 	}
-	if takes += time.Duration(n.takes.Load()); takes > 0 {
-		time.Sleep(takes)
+	if latency += time.Duration(n.extraLatency.Load()); latency > 0 {
+		time.Sleep(latency)
 	}
 	writes := g.Writes
 	if writes == nil {
@@ -312,25 +314,26 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	at := now
-	if primary && writes(text) { // as the log has it: of two writes of a row the later one by this time is what stays
+	// A write is stamped under the lock, in the order of the log: of two writes of a row, the one with the later time stays.
+	if primary && writes(text) {
 		at = time.Now()
 	}
-	g.ran = append(g.ran, Execution{n.Name, primary, text, at})
+	g.history = append(g.history, Execution{n.Name, primary, text, at})
 	if !primary && writes(text) {
 		return status(append(out, pgwire.AppendError(nil, "ERROR", "25006", "cannot execute "+first+" in a read-only transaction", "")...))
 	}
 	switch first {
 	case "begin":
-		s.inside = true
+		s.inTransaction = true
 		return status(pgwire.Append(out, 'C', "BEGIN\x00"))
 	case "commit", "rollback":
-		s.inside = false
+		s.inTransaction = false
 		return status(pgwire.Append(out, 'C', strings.ToUpper(first)+"\x00"))
 	case "set":
-		s.path = text
+		s.setting = text
 		return status(pgwire.Append(out, 'C', "SET\x00"))
 	case "show":
-		return status(append(out, Row(s.path)...))
+		return status(append(out, Row(s.setting)...))
 	}
 	if g.Run != nil {
 		return status(append(out, g.Run(text)...))
@@ -338,6 +341,7 @@
 	return status(append(out, g.run(text, pos, primary)...))
 }
 
+// firstWord returns the first word of a statement after leading comments.
 func firstWord(text string) string {
 	for strings.HasPrefix(strings.TrimSpace(text), "/*") {
 		_, after, ok := strings.Cut(text, "*/")
@@ -353,9 +357,9 @@
 	return text
 }
 
-// run executes the few forms that the stand-in knows, on rows of a key and a body; anything else answers one row.
+// run executes the few statement forms that the node knows, on rows of a key and a body. Any other statement answers one row.
 func (g *Group) run(text string, pos time.Time, primary bool) []byte {
-	literals := quoted(text)
+	literals := quotedLiterals(text)
 	words := strings.Fields(strings.ToLower(strings.NewReplacer("(", " ", ")", " ", ",", " ", "=", " ").Replace(text)))
 	after := func(word string) string {
 		if i := slices.Index(words, word); i >= 0 && i+1 < len(words) {
@@ -381,7 +385,7 @@
 		}
 	case "delete":
 		if len(literals) >= 1 {
-			g.log = append(g.log, commit{at: time.Now(), table: after("from"), key: literals[0], gone: true})
+			g.log = append(g.log, commit{at: time.Now(), table: after("from"), key: literals[0], deleted: true})
 			return pgwire.Append(nil, 'C', "DELETE 1\x00")
 		}
 	case "select":
@@ -402,21 +406,22 @@
 	return Row("ok")
 }
 
-// rows are a table's rows as of a position.
+// rows returns the bodies of a table's rows by key, as of a replication position.
 func (g *Group) rows(table string, pos time.Time) map[string]string {
 	rows := map[string]string{}
 	for _, c := range g.log {
 		if c.table != table || c.at.After(pos) {
 			continue
 		}
-		if rows[c.key] = c.body; c.gone {
+		if rows[c.key] = c.body; c.deleted {
 			delete(rows, c.key)
 		}
 	}
 	return rows
 }
 
-func quoted(text string) (out []string) {
+// quotedLiterals returns the contents of the quoted strings in a statement.
+func quotedLiterals(text string) (out []string) {
 	for {
 		_, after, ok := strings.Cut(text, "'")
 		if !ok {
@@ -430,30 +435,30 @@
 	}
 }
 
-// Row is a result of one row of one column.
+// Row returns the messages of a result with one row of one column.
 func Row(value string) []byte { return Rows([]string{"body"}, []string{value}) }
 
-// Rows is a result of any form, all text.
+// Rows returns the messages of a result whose columns are all of type text.
 func Rows(columns []string, rows ...[]string) []byte {
-	number := func(n, bytes int) string {
+	bigEndian := func(n, bytes int) string {
 		return string([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}[4-bytes:])
 	}
-	parts := []string{number(len(columns), 2)}
+	parts := []string{bigEndian(len(columns), 2)}
 	for _, c := range columns {
 		parts = append(parts, c, "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00")
 	}
 	b := pgwire.Append(nil, 'T', parts...)
 	for _, r := range rows {
-		parts = []string{number(len(r), 2)}
+		parts = []string{bigEndian(len(r), 2)}
 		for _, v := range r {
-			parts = append(parts, number(len(v), 4), v)
+			parts = append(parts, bigEndian(len(v), 4), v)
 		}
 		b = pgwire.Append(b, 'D', parts...)
 	}
 	return pgwire.Append(b, 'C', "SELECT "+strconv.Itoa(len(rows))+"\x00")
 }
 
-// Misplaced tells the statements of a history that a replica ran though they write, by a judge of the caller's.
+// Misplaced returns the statements of a history that a replica received although they write, as judged by writes, sorted by node.
 func Misplaced(history []Execution, writes func(string) bool) (out []Execution) {
 	for _, r := range history {
 		if !r.Primary && writes(r.Text) {
--- a/testserver/statements.go
+++ b/testserver/statements.go
@@ -5,25 +5,27 @@
 	"strings"
 )
 
-// This file owns the random statements that experiments send: reads, and reads that a write is hidden in. It knows what
-// it wrote, and nothing of how a router reads it.
+// This file generates random statements for experiments: reads, and reads with a hidden write. The generator knows which
+// kind it produced but not how a router classifies it.
 
-// Writer makes random statements. Draw gives a number below n.
+// Writer generates random statements. Draw returns a random number from 0 to n-1.
 type Writer struct {
-	Draw func(n int) int
-	hide bool // one of the values is to be a write
-	left int  // values until the write, once hide is set
-	deep int
+	Draw       func(n int) int
+	hideWrite  bool // one of the values still has to be a write
+	valuesLeft int  // values before the hidden write
+	depth      int  // nesting of the value being generated
 }
 
-func (w *Writer) pick(of ...string) string { return of[w.Draw(len(of))] }
+// pick returns one of the choices.
+func (w *Writer) pick(choices ...string) string { return choices[w.Draw(len(choices))] }
 
-// gap is white space, a comment or a hint, as SQL allows between any two tokens.
+// gap returns white space, a comment or a hint, as SQL allows between any two tokens.
 func (w *Writer) gap() string {
 	return w.pick(" ", " ", " ", " ", "\n", "\t ", " /* plain */ ", "/* a /* nested */ one */", " -- to the end\n", "/*+ Hint(t) */")
 }
 
-func (w *Writer) spell(word string) string {
+// changeCase returns a word in upper case, in lower case or capitalized.
+func (w *Writer) changeCase(word string) string {
 	switch w.Draw(3) {
 	case 0:
 		return strings.ToUpper(word)
@@ -33,8 +35,8 @@
 	return strings.ToUpper(word[:1]) + word[1:]
 }
 
-// write is an expression that writes, in one of many disguises.
-func (w *Writer) write() string {
+// hiddenWrite returns an expression that writes, or that may write because it isn't known to be harmless, in a random disguise.
+func (w *Writer) hiddenWrite() string {
 	fn := w.pick("nextval", "setval", "set_config", "pg_notify", "lo_unlink", "dblink_exec", "pay_out", "txid_current",
 		"pg_advisory_xact_lock", "query_to_xml", "pg_terminate_backend", "lastval", "nobody_declared_this")
 	switch w.Draw(6) {
@@ -47,7 +49,7 @@
 	case 3:
 		fn = w.pick("shop", "public", `"Evil"`) + "." + w.pick("lower", "now", "count", "refund")
 	default:
-		fn = w.spell(fn)
+		fn = w.changeCase(fn)
 	}
 	call := fn + w.pick("", " ", "/* */", " -- x\n") + "(" + w.pick("", "'s'", "1, 2", "(SELECT 1)", "$$x$$") + ")"
 	switch w.Draw(5) {
@@ -63,17 +65,18 @@
 	return call
 }
 
+// value returns a random expression, which is the hidden write if its turn has come.
 func (w *Writer) value() string {
-	if w.hide {
-		if w.left--; w.left < 0 {
-			w.hide = false
-			return w.write()
+	if w.hideWrite {
+		if w.valuesLeft--; w.valuesLeft < 0 {
+			w.hideWrite = false
+			return w.hiddenWrite()
 		}
 	}
-	w.deep++
-	defer func() { w.deep-- }()
+	w.depth++
+	defer func() { w.depth-- }()
 	n := 14
-	if w.deep > 4 {
+	if w.depth > 4 {
 		n = 9
 	}
 	switch w.Draw(n) {
@@ -103,16 +106,17 @@
 	return "(" + w.query() + ")"
 }
 
+// query returns a random SELECT.
 func (w *Writer) query() string {
 	var b strings.Builder
-	b.WriteString(w.spell("select") + w.gap() + w.value())
+	b.WriteString(w.changeCase("select") + w.gap() + w.value())
 	for range w.Draw(3) {
 		b.WriteString("," + w.gap() + w.value())
 	}
-	b.WriteString(w.gap() + w.spell("from") + " " + w.pick("t", "public.t", `"T"`, "ONLY t", "t AS x", "generate_series(1, 3) g",
+	b.WriteString(w.gap() + w.changeCase("from") + " " + w.pick("t", "public.t", `"T"`, "ONLY t", "t AS x", "generate_series(1, 3) g",
 		"t JOIN u USING (id)", "t LEFT JOIN u ON t.a = u.a", "(VALUES (1, 2), (3, 4)) v"))
 	if w.Draw(2) == 0 {
-		b.WriteString(w.gap() + w.spell("where") + " " + w.value() + w.gap() + "= " + w.value())
+		b.WriteString(w.gap() + w.changeCase("where") + " " + w.value() + w.gap() + "= " + w.value())
 	}
 	if w.Draw(3) == 0 {
 		b.WriteString(" GROUP BY " + w.value() + " HAVING count(*) > " + w.value())
@@ -120,25 +124,25 @@
 	if w.Draw(3) == 0 {
 		b.WriteString(" ORDER BY " + w.value() + " DESC LIMIT 3")
 	}
-	if w.deep == 0 && w.Draw(4) == 0 {
-		w.deep++
+	if w.depth == 0 && w.Draw(4) == 0 {
+		w.depth++
 		b.WriteString(" UNION ALL " + w.query())
-		w.deep--
+		w.depth--
 	}
 	return b.String()
 }
 
-// Statement gives a read, or a statement with one write hidden in it.
+// Statement returns a read, or with hide a statement that hides one write.
 func (w *Writer) Statement(hide bool) string {
 	form := 0
 	if hide {
 		form = w.Draw(10)
 	}
-	w.hide, w.left = hide && form < 5, w.Draw(6)
+	w.hideWrite, w.valuesLeft = hide && form < 5, w.Draw(6)
 	q := w.query()
-	if w.hide { // the query had fewer values than that
-		w.hide = false
-		q = "SELECT " + w.write() + ", (" + q + ") FROM t"
+	if w.hideWrite { // the query had too few values to reach the write
+		w.hideWrite = false
+		q = "SELECT " + w.hiddenWrite() + ", (" + q + ") FROM t"
 	}
 	switch form {
 	case 5:
@@ -147,7 +151,7 @@
 	case 6:
 		return q + w.gap() + ";" + w.gap() + w.pick("DELETE FROM t", "DROP TABLE t", "SELECT pay_out(1)", "commit")
 	case 7:
-		return w.spell("explain") + w.gap() + w.pick("ANALYZE ", "(ANALYZE) ", "(COSTS off, ANALYSE) ", "analyze verbose ") +
+		return w.changeCase("explain") + w.gap() + w.pick("ANALYZE ", "(ANALYZE) ", "(COSTS off, ANALYSE) ", "analyze verbose ") +
 			w.pick("DELETE FROM t", "UPDATE t SET a = 1", "INSERT INTO t SELECT 1")
 	case 8:
 		return q + " FOR" + w.gap() + w.pick("UPDATE", "SHARE", "NO KEY UPDATE", "KEY SHARE")
