--- a/cmd/eidersystem/demo_deployment.go
+++ b/cmd/eidersystem/demo_deployment.go
@@ -35,7 +35,7 @@
 	directory   string // where the controllers keep their state
 	service     *testinstance.Service
 	platform    *testinstance.Platform
-	controllers [workload.Controllers]*component
+	controllers [workload.ControllerCount]*component
 	gateways    []*component
 }
 
@@ -99,7 +99,7 @@
 		return err
 	}
 	d.platform = platform
-	for number := range workload.Controllers {
+	for number := range workload.ControllerCount {
 		if err := d.startController(number, true); err != nil {
 			return err
 		}
@@ -157,7 +157,7 @@
 }
 
 func (d *demoDeployment) controllerAddresses() []string {
-	return d.layout.Controls(workload.Controllers)
+	return d.layout.Controls(workload.ControllerCount)
 }
 
 func (d *demoDeployment) gatewayAddresses() []string {
@@ -170,8 +170,8 @@
 
 // leader returns the number of the leading controller, if there is one.
 func (d *demoDeployment) leader(ctx context.Context) (number int, found bool) {
-	for number := range workload.Controllers {
-		if workload.Leads(ctx, d.layout.Control(number)) {
+	for number := range workload.ControllerCount {
+		if workload.IsLeading(ctx, d.layout.Control(number)) {
 			return number, true
 		}
 	}
@@ -180,7 +180,7 @@
 
 func (d *demoDeployment) gatewaysAreReady() bool {
 	for number := range demoGateways {
-		answer, err := workload.NewCaller(0).Get("http://" + d.layout.Readiness(number) + "/readiness")
+		answer, err := workload.NewHTTPClient(0).Get("http://" + d.layout.Readiness(number) + "/readiness")
 		if err != nil {
 			return false
 		}
--- a/cmd/eidersystem/demo_run.go
+++ b/cmd/eidersystem/demo_run.go
@@ -216,6 +216,6 @@
 			waits[len(waits)/2].Round(time.Millisecond), waits[len(waits)-1].Round(time.Millisecond))
 	}
 	d.progress.printf("configuration %d is in force, %d was the newest acknowledged of %d", read.Number,
-		d.orders.NewestAcknowledged(), len(d.orders.Placed()))
+		d.orders.NewestAcknowledged(), len(d.orders.Completed()))
 	d.progress.printf("%s leads %s; the platform took %d calls", d.service.Leader().ID(), demoService, len(d.platform.Calls()))
 }
--- a/systemtest/keys_test.go
+++ b/systemtest/keys_test.go
@@ -61,7 +61,7 @@
 	for number := range gatewayCount {
 		answers[gatewayName(number)+"'s figures"] = get(t, "http://"+w.layout.Gateway(number).IPAddress+":"+figures)
 	}
-	for number := range workload.Controllers {
+	for number := range workload.ControllerCount {
 		answers[controllerName(number)+"'s figures"] = get(t, "http://"+w.layout.Controller(number, false, "").IPAddress+":"+figures)
 	}
 	w.awaitMembers()
@@ -111,7 +111,7 @@
 
 func post(t *testing.T, url, body string) (status int, text string) {
 	t.Helper()
-	answer, err := workload.NewCaller(0).Post(url, "application/json", strings.NewReader(body))
+	answer, err := workload.NewHTTPClient(0).Post(url, "application/json", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 
 func get(t *testing.T, url string) string {
 	t.Helper()
-	answer, err := workload.NewCaller(0).Get(url)
+	answer, err := workload.NewHTTPClient(0).Get(url)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/systemtest/links_test.go
+++ b/systemtest/links_test.go
@@ -18,13 +18,13 @@
 	w.Helper()
 	l := &links{relays: map[link]*workload.Relay{}}
 	var callers []string
-	for number := range workload.Controllers {
+	for number := range workload.ControllerCount {
 		callers = append(callers, controllerName(number))
 	}
 	for number := range gatewayCount {
 		callers = append(callers, gatewayName(number))
 	}
-	for number := range workload.Controllers {
+	for number := range workload.ControllerCount {
 		target := w.layout.Controller(number, false, "").RPCAddress()
 		for _, from := range callers {
 			to := controllerName(number)
@@ -48,7 +48,7 @@
 		return settings
 	}
 	settings.InternalRoutes = map[string]string{}
-	for number := range workload.Controllers {
+	for number := range workload.ControllerCount {
 		target := w.layout.Controller(number, false, "").RPCAddress()
 		if relay := l.relays[link{settings.Name, controllerName(number)}]; relay != nil {
 			settings.InternalRoutes[target] = relay.Address()
@@ -70,9 +70,9 @@
 func (l *links) cut(one, other string, how direction, isCut bool) {
 	there, back := !isCut || how == onlyBack, !isCut || how == onlyThere
 	if relay := l.relays[link{one, other}]; relay != nil {
-		relay.Pass(there, back)
+		relay.SetPassing(there, back)
 	}
 	if relay := l.relays[link{other, one}]; relay != nil {
-		relay.Pass(back, there)
+		relay.SetPassing(back, there)
 	}
 }
--- a/systemtest/orders_test.go
+++ b/systemtest/orders_test.go
@@ -62,7 +62,7 @@
 // areLinearizable tells whether each number behaves as if it were decided on at one place, one call at a time.
 func areLinearizable(orders *workload.Orders) bool {
 	var history []porcupine.Operation
-	for _, order := range orders.Placed() {
+	for _, order := range orders.Completed() {
 		operation := porcupine.Operation{
 			ClientId: len(history),
 			Input:    numberInput{number: order.Number, content: order.Content},
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -155,13 +155,13 @@
 }
 
 func (s *soak) killController() {
-	number := s.random.IntN(workload.Controllers)
+	number := s.random.IntN(workload.ControllerCount)
 	one := s.controllers[number]
 	s.last(one.name, "killed", one.kill, func() { s.startController(number, false) })
 }
 
 func (s *soak) stopController() {
-	one := s.controllers[s.random.IntN(workload.Controllers)]
+	one := s.controllers[s.random.IntN(workload.ControllerCount)]
 	s.last(one.name, "stopped", func() { one.signal(syscall.SIGSTOP) }, func() { one.signal(syscall.SIGCONT) })
 }
 
@@ -193,8 +193,8 @@
 
 // cutControllers cuts two controllers from each other.
 func (s *soak) cutControllers() {
-	first := s.random.IntN(workload.Controllers)
-	second := (first + 1 + s.random.IntN(workload.Controllers-1)) % workload.Controllers
+	first := s.random.IntN(workload.ControllerCount)
+	second := (first + 1 + s.random.IntN(workload.ControllerCount-1)) % workload.ControllerCount
 	s.cutLink(controllerName(min(first, second)), controllerName(max(first, second)))
 }
 
@@ -206,10 +206,10 @@
 
 // isolateController cuts one controller from the other ones.
 func (s *soak) isolateController() {
-	number, how := s.random.IntN(workload.Controllers), s.anyDirection()
+	number, how := s.random.IntN(workload.ControllerCount), s.anyDirection()
 	cut := func(isCut bool) func() {
 		return func() {
-			for other := range workload.Controllers {
+			for other := range workload.ControllerCount {
 				s.links.cut(controllerName(number), controllerName(other), how, isCut)
 			}
 		}
@@ -221,13 +221,13 @@
 func (s *soak) cutGatewayFromCore() {
 	gateway := gatewayName(s.random.IntN(gatewayCount))
 	if s.random.IntN(2) == 0 {
-		s.cutLink(gateway, controllerName(s.random.IntN(workload.Controllers)))
+		s.cutLink(gateway, controllerName(s.random.IntN(workload.ControllerCount)))
 		return
 	}
 	how := s.anyDirection()
 	cut := func(isCut bool) func() {
 		return func() {
-			for number := range workload.Controllers {
+			for number := range workload.ControllerCount {
 				s.links.cut(gateway, controllerName(number), how, isCut)
 			}
 		}
@@ -250,7 +250,7 @@
 	s.endDue(time.Now().Add(time.Hour))
 	lost := -1
 	if kind == 2 {
-		lost = s.random.IntN(workload.Controllers)
+		lost = s.random.IntN(workload.ControllerCount)
 	}
 	s.tell("all are killed; lost disk: %d", lost)
 	for _, one := range append(slices.Clone(s.controllers), s.gateways...) {
@@ -283,7 +283,7 @@
 }
 
 func (s *soak) cutController() {
-	s.cutCaller(controllerName(s.random.IntN(workload.Controllers)))
+	s.cutCaller(controllerName(s.random.IntN(workload.ControllerCount)))
 }
 
 func (s *soak) cutCaller(who string) {
@@ -292,7 +292,7 @@
 }
 
 func (s *soak) cutControl() {
-	address := s.layout.Control(s.random.IntN(workload.Controllers))
+	address := s.layout.Control(s.random.IntN(workload.ControllerCount))
 	cut := func(isCut bool) func() { return func() { s.service.CutController(address, isCut) } }
 	s.last("calls of instances to "+address, "cut", cut(true), cut(false))
 }
--- a/systemtest/system_test.go
+++ b/systemtest/system_test.go
@@ -111,7 +111,7 @@
 	}
 	w.awaitWrites("after the roll")
 	w.conclude()
-	for _, order := range w.orders.Placed() {
+	for _, order := range w.orders.Completed() {
 		if order.Status == 0 {
 			t.Errorf("configuration %d got no clear answer in %d tries", order.Number, order.Tries)
 		}
--- a/systemtest/tenants_test.go
+++ b/systemtest/tenants_test.go
@@ -31,12 +31,12 @@
 	w.Helper()
 	settings := w.clientSettings()
 	settings.Key = keyed(key)
-	before := w.history.Refused(key)
+	before := w.history.AuthFailures(key)
 	w.await("the key is refused", func() bool {
 		if opened := workload.OpenSession(lastNumbers+number, w.layout.Front(gateway), settings); opened != nil {
 			opened.Close()
 		}
-		return w.history.Refused(key) > before
+		return w.history.AuthFailures(key) > before
 	})
 }
 
@@ -108,7 +108,7 @@
 
 // cutOff cuts a gateway from all controllers, or joins it again.
 func (w *world) cutOff(gateway int, isCut bool) {
-	for number := range workload.Controllers {
+	for number := range workload.ControllerCount {
 		w.links.cut(gatewayName(gateway), controllerName(number), bothWays, isCut)
 	}
 }
@@ -181,8 +181,8 @@
 	served, refused := w.countOf(hotKey)
 	is.True(refused > served)                                     // it asked for far more than its limit
 	is.True(float64(served) > crowdRate*(2*hotFor).Seconds()*0.5) // statements; a transaction has several
-	is.True(w.history.Refused(unheldKey) > 0)
-	t.Logf("the hot tenant: %d statements served, %d refused; strangers refused %d times", served, refused, w.history.Refused(unheldKey))
+	is.True(w.history.AuthFailures(unheldKey) > 0)
+	t.Logf("the hot tenant: %d statements served, %d refused; strangers refused %d times", served, refused, w.history.AuthFailures(unheldKey))
 }
 
 // QUOTA: a lower limit did not bind in time; and a higher one was not given.
--- a/systemtest/views_test.go
+++ b/systemtest/views_test.go
@@ -57,7 +57,7 @@
 	w.Helper()
 	w.await("all controllers are members", func() bool {
 		newest := w.newestView()
-		return newest.voters == workload.Controllers && newest.copies == workload.Controllers
+		return newest.voters == workload.ControllerCount && newest.copies == workload.ControllerCount
 	})
 }
 
--- a/systemtest/workload/caller.go
+++ b/systemtest/workload/caller.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// NewCaller makes a client that follows so many redirects, gives up after a second and keeps no connections.
-func NewCaller(redirects int) *http.Client {
+// NewHTTPClient makes a client that follows so many redirects, gives up after a second and keeps no connections.
+func NewHTTPClient(redirects int) *http.Client {
 	return &http.Client{
 		Timeout:   orderWait,
 		Transport: &http.Transport{DisableKeepAlives: true},
@@ -19,13 +19,13 @@
 	}
 }
 
-// Leads tells whether the controller at this address leads: it answers, without sending the caller on.
-func Leads(ctx context.Context, address string) bool {
+// IsLeading tells whether the controller at this address leads: it answers, without sending the caller on.
+func IsLeading(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/config/fetch", nil)
 	if err != nil {
 		return false
 	}
-	response, err := NewCaller(0).Do(request)
+	response, err := NewHTTPClient(0).Do(request)
 	if err != nil {
 		return false
 	}
--- a/systemtest/workload/client.go
+++ b/systemtest/workload/client.go
@@ -131,7 +131,7 @@
 		if outcome == Done && len(writes) > 0 {
 			c.History.addWait(time.Since(began))
 		}
-		if outcome != NotKept || ctx.Err() != nil {
+		if outcome != NoEffect || ctx.Err() != nil {
 			return
 		}
 		rest(ctx, retryRest)
@@ -160,7 +160,7 @@
 // try does the operation once.
 func (c *client) try(kind operationKind, writes []testinstance.Write) Outcome {
 	if c.conn == nil && !c.connect() {
-		return NotKept
+		return NoEffect
 	}
 	c.tries++
 	switch kind {
@@ -241,13 +241,13 @@
 	statement.Code, statement.Stamp, statement.Rows = answer.Code, answer.Stamp, answer.Rows
 	switch {
 	case wire.DeliveryOf(err) == wire.NotSent && err != nil:
-		statement.Outcome = NotKept
+		statement.Outcome = NoEffect
 	case err != nil:
 		statement.Outcome = Unknown
 	case answer.Code == "":
 		statement.Outcome = Done
 	case answer.Code.PromisesNoEffect():
-		statement.Outcome = NotKept
+		statement.Outcome = NoEffect
 	}
 	if err != nil || answer.State == wire.Failed {
 		c.leave()
@@ -260,7 +260,7 @@
 func (c *client) transact(writes []testinstance.Write) Outcome {
 	began := time.Now()
 	if !c.own(string(wire.Begin)) {
-		return NotKept
+		return NoEffect
 	}
 	if c.ask(began, c.fetchText(c.thing()), nil) != Done {
 		return c.giveUp()
@@ -280,7 +280,7 @@
 // giveUp ends a transaction whose commit was not sent.
 func (c *client) giveUp() Outcome {
 	c.leave()
-	return NotKept
+	return NoEffect
 }
 
 // rest waits, unless the context ends.
--- a/systemtest/workload/history.go
+++ b/systemtest/workload/history.go
@@ -20,8 +20,8 @@
 	Unknown Outcome = iota
 	// Done: the statement succeeded.
 	Done
-	// NotKept: an answer that promises that nothing of the try is kept.
-	NotKept
+	// NoEffect: an answer that promises that nothing of the try is kept.
+	NoEffect
 )
 
 // Statement is a read, a write or a commit that a client sent.
@@ -87,8 +87,8 @@
 	h.refused[key]++
 }
 
-// Refused is how many sessions with the key were refused with AUTHFAIL until now.
-func (h *History) Refused(key string) int {
+// AuthFailures is how many sessions with the key were refused with AUTHFAIL until now.
+func (h *History) AuthFailures(key string) int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.refused[key]
--- a/systemtest/workload/judge.go
+++ b/systemtest/workload/judge.go
@@ -18,8 +18,8 @@
 	Journal    testinstance.Journal
 	Final      testinstance.Log // of the instance that leads at the end
 	DrainTime  time.Duration    // after which nothing may be begun at an instance that has said that it goes
-	// Excused says of what an instance ran that its caller stood still just before, so that it may come too late; nil: of nothing.
-	Excused func(testinstance.Execution) bool
+	// MayRunLate says of what an instance ran that its caller stood still just before, so that it may come too late; nil: of nothing.
+	MayRunLate func(testinstance.Execution) bool
 }
 
 // Judge returns the rules that were broken, each with what breaks it; none if all were kept.
@@ -132,7 +132,7 @@
 // promisesAreKept: nothing is kept of a try of which that was promised.
 func (j *judge) promisesAreKept() {
 	for _, statement := range j.Statements {
-		if statement.Outcome == NotKept && len(j.kept[statement.ID]) > 0 {
+		if statement.Outcome == NoEffect && len(j.kept[statement.ID]) > 0 {
 			j.report("REFUSED", "%s %q was answered with %s and is kept", statement.ID, statement.Text, statement.Code)
 		}
 	}
@@ -211,4 +211,4 @@
 	}
 }
 
-func (j *judge) isExcused(ran testinstance.Execution) bool { return j.Excused != nil && j.Excused(ran) }
+func (j *judge) isExcused(ran testinstance.Execution) bool { return j.MayRunLate != nil && j.MayRunLate(ran) }
--- a/systemtest/workload/judge_test.go
+++ b/systemtest/workload/judge_test.go
@@ -34,7 +34,7 @@
 			{ID: "s1", Text: "PUT t x", Began: at(1), Answered: at(2), Outcome: Done, Stamp: "a", Writes: first.Writes},
 			{ID: "s2", Text: "EXECUTE w t y", Began: at(4), Answered: at(5), Outcome: Done, Stamp: "b", Writes: second.Writes},
 			{ID: "s3", Text: "FETCH t", Began: at(6), Answered: at(7), Outcome: Done, Stamp: "c", Rows: []string{"y"}},
-			{ID: "s4", Text: "PUT t z", Began: at(6), Answered: at(7), Outcome: NotKept, Code: "BUSY", Writes: entry(0, 0, "", "z").Writes},
+			{ID: "s4", Text: "PUT t z", Began: at(6), Answered: at(7), Outcome: NoEffect, Code: "BUSY", Writes: entry(0, 0, "", "z").Writes},
 		},
 		Journal: testinstance.Journal{
 			Promotions: []testinstance.Promotion{{Instance: "one", Term: 1, At: at(0)}, {Instance: "two", Term: 2, At: at(3), Log: early}},
--- a/systemtest/workload/layout.go
+++ b/systemtest/workload/layout.go
@@ -87,8 +87,8 @@
 	return settings
 }
 
-// Controllers is how many controllers a layout has.
-const Controllers = 3
+// ControllerCount is the number of controllers of a layout.
+const ControllerCount = 3
 
 func (l Layout) machine(name string, host int, zone string) system.Settings {
 	settings := system.Settings{
@@ -96,7 +96,7 @@
 		IPAddress:      l.network.Host(host),
 		Zone:           zone,
 		InternalPorts:  []int{internalFirst, internalLast},
-		Seeds:          l.Controls(Controllers),
+		Seeds:          l.Controls(ControllerCount),
 		BeatIntervalMs: beatInterval,
 		FaultTolerance: system.FaultTolerance{Machines: 1},
 		Bounds:         system.DefaultBounds(),
--- a/systemtest/workload/operator.go
+++ b/systemtest/workload/operator.go
@@ -122,7 +122,7 @@
 // call calls any controller. Redirects are followed.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
 	if o.client == nil {
-		o.client = NewCaller(mostRedirect)
+		o.client = NewHTTPClient(mostRedirect)
 	}
 	controllers := o.Controllers()
 	address := controllers[rand.N(len(controllers))]
--- a/systemtest/workload/orders.go
+++ b/systemtest/workload/orders.go
@@ -55,8 +55,8 @@
 	return sent
 }
 
-// Placed are the orders that were ended until now, in any order.
-func (o *Orders) Placed() []Order {
+// Completed are the orders that were ended until now, in any order.
+func (o *Orders) Completed() []Order {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return slices.Clone(o.orders)
@@ -72,7 +72,7 @@
 // NewestAcknowledged is the highest number that was acknowledged.
 func (o *Orders) NewestAcknowledged() int64 {
 	var newest int64
-	for _, order := range o.Placed() {
+	for _, order := range o.Completed() {
 		if order.Status == http.StatusOK {
 			newest = max(newest, order.Number)
 		}
@@ -87,7 +87,7 @@
 	if newest := o.NewestAcknowledged(); read.Number < newest {
 		broken = append(broken, fmt.Sprintf("CONFIG: %d was read back, %d was acknowledged", read.Number, newest))
 	}
-	wasSent := slices.ContainsFunc(o.Placed(), func(order Order) bool {
+	wasSent := slices.ContainsFunc(o.Completed(), func(order Order) bool {
 		return order.Number == read.Number && order.Content == read.Content
 	})
 	if !wasSent {
@@ -100,7 +100,7 @@
 func (o *Orders) staleReads() []string {
 	var broken []string
 	for _, read := range o.Fetched() {
-		for _, order := range o.Placed() {
+		for _, order := range o.Completed() {
 			if order.Status == http.StatusOK && order.Answered.Before(read.Sent) && read.Number < order.Number {
 				broken = append(broken, fmt.Sprintf("CONFIG: %d was read after %d was acknowledged", read.Number, order.Number))
 			}
--- a/systemtest/workload/relay.go
+++ b/systemtest/workload/relay.go
@@ -35,8 +35,8 @@
 // Address is where the relay is connected to.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Pass sets which directions are whole.
-func (r *Relay) Pass(there, back bool) {
+// SetPassing sets which directions carry bytes.
+func (r *Relay) SetPassing(there, back bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.there, r.back = there, back
--- a/systemtest/workload/session_test.go
+++ b/systemtest/workload/session_test.go
@@ -19,7 +19,7 @@
 	history := &History{}
 	for range 2 {
 		session := OpenSession(7, listener.Addr().String(), ClientSettings{Database: "shop", History: history})
-		is.Equal(session.Put("t", "x").Outcome, NotKept)
+		is.Equal(session.Put("t", "x").Outcome, NoEffect)
 		session.Close()
 	}
 	statements := history.Statements()
--- a/systemtest/world_test.go
+++ b/systemtest/world_test.go
@@ -87,7 +87,7 @@
 	w.Helper()
 	w.startSurroundings(set)
 	w.links = over(w)
-	for number := range workload.Controllers {
+	for number := range workload.ControllerCount {
 		w.controllers = append(w.controllers, newProcess(w.T, w.directory, "controller-"+workload.Zone(number)))
 		w.controllers[number].flags = w.flags
 		w.startController(number, true)
@@ -229,7 +229,7 @@
 	return w.links.through(w, settings)
 }
 
-func (w *world) controls() []string { return w.layout.Controls(workload.Controllers) }
+func (w *world) controls() []string { return w.layout.Controls(workload.ControllerCount) }
 
 func (w *world) fronts() []string {
 	var fronts []string
@@ -240,7 +240,7 @@
 }
 
 func (w *world) isReady(gateway int) bool {
-	answer, err := workload.NewCaller(0).Get("http://" + w.layout.Readiness(gateway) + "/readiness")
+	answer, err := workload.NewHTTPClient(0).Get("http://" + w.layout.Readiness(gateway) + "/readiness")
 	if err != nil {
 		return false
 	}
@@ -262,7 +262,7 @@
 // leads is the controller that leads now, or -1.
 func (w *world) leads() int {
 	for number := range w.controllers {
-		if workload.Leads(w.Context(), w.layout.Control(number)) {
+		if workload.IsLeading(w.Context(), w.layout.Control(number)) {
 			return number
 		}
 	}
@@ -320,7 +320,7 @@
 		Journal:    w.service.Journal(),
 		Final:      w.service.Leader().Log(),
 		DrainTime:  drainTime,
-		Excused:    w.excused,
+		MayRunLate:    w.excused,
 	})...)
 	broken = append(broken, judgeFences(w.platform.Calls())...)
 	broken = append(broken, w.brokenInvariants()...)
@@ -333,7 +333,7 @@
 	}
 	w.Logf("%d statements, %d writes acknowledged (longest wait %v), %d orders, %d reads of the configuration, %d promotes, %d calls to the platform",
 		len(w.history.Statements()), w.history.Acknowledged(), slices.Max(w.history.Waits()).Round(time.Millisecond),
-		len(w.orders.Placed()), len(w.orders.Fetched()), len(w.service.Journal().Promotions), len(w.platform.Calls()))
+		len(w.orders.Completed()), len(w.orders.Fetched()), len(w.service.Journal().Promotions), len(w.platform.Calls()))
 }
 
 // wait waits, unless the context ends.
