--- a/systemtest/workload/caller.go
+++ b/systemtest/workload/caller.go
@@ -5,10 +5,11 @@
 	"net/http"
 )
 
-// NewHTTPClient makes a client that follows so many redirects, gives up after a second and keeps no connections.
+// NewHTTPClient makes a client that follows at most the given number of redirects, times out after a second and
+// reuses no connections.
 func NewHTTPClient(redirects int) *http.Client {
 	return &http.Client{
-		Timeout:   orderWait,
+		Timeout:   callTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 			if len(via) > redirects {
@@ -19,7 +20,7 @@
 	}
 }
 
-// IsLeading tells whether the controller at this address leads: it answers, without sending the caller on.
+// IsLeading reports whether the controller at this address leads: it answers without a redirect.
 func IsLeading(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/config/fetch", nil)
 	if err != nil {
--- a/systemtest/workload/client.go
+++ b/systemtest/workload/client.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	tryWait       = 3 * time.Second       // for the answer to a statement
-	connectWait   = 2 * time.Second       // for the READY of a new session
-	operationWait = 10 * time.Second      // for an operation with all its tries
-	restLeast     = 4 * time.Millisecond  // between operations
-	restMost      = 12 * time.Millisecond // between operations
-	retryRest     = 20 * time.Millisecond // after a try that failed
-	things        = 8                     // that clients read and write
-	preparedWrite = "w"
-	preparedRead  = "r"
-	executeFetch  = string(wire.Execute) + " " + preparedRead + " "
-	executePut    = string(wire.Execute) + " " + preparedWrite + " "
-	sessionLength = 60 // operations, after which a client leaves and comes again
-	sharePrepared = 4  // one statement in so many is prepared
-	shareRollback = 8  // one transaction in so many is rolled back
+	answerTimeout    = 3 * time.Second       // for the answer to a statement
+	connectTimeout   = 2 * time.Second       // for the READY of a new session
+	operationTimeout = 10 * time.Second      // for an operation with all its tries
+	minPause         = 4 * time.Millisecond  // between operations
+	maxPause         = 12 * time.Millisecond // between operations
+	retryPause       = 20 * time.Millisecond // after a try that failed
+	keyCount         = 8                     // that clients read and write
+	preparedWrite    = "w"
+	preparedRead     = "r"
+	executeFetch     = string(wire.Execute) + " " + preparedRead + " "
+	executePut       = string(wire.Execute) + " " + preparedWrite + " "
+	sessionLength    = 60 // operations, after which a client closes its session and opens another
+	sharePrepared    = 4  // one statement in so many is prepared
+	shareRollback    = 8  // one transaction in so many is rolled back
 )
 
-// operationKind is what a client does next. Half of the operations are single writes.
+// operationKind is the kind of an operation. Half of the operations are single writes.
 type operationKind int
 
 const (
@@ -40,16 +40,16 @@
 	operationKinds
 )
 
-// ClientSettings are those of a number of clients.
+// ClientSettings are the settings that a group of clients shares.
 type ClientSettings struct {
 	Database string
 	Gateways func() []string // front addresses, of which each session takes one
 	History  *History
-	Key      func(client int) string // nil: they have names of their own, which are nobody's keys
-	Eager    bool                    // they don't rest between operations
+	Key      func(client int) string // nil: clients give names of their own, which are no tenant's keys
+	Eager    bool                    // clients don't pause between operations
 }
 
-// keyOf is what a client names itself.
+// keyOf returns the key that a client gives at CONNECT, or its name if clients have no keys.
 func (s ClientSettings) keyOf(client int) string {
 	if s.Key == nil {
 		return fmt.Sprintf("client-%d", client)
@@ -57,13 +57,13 @@
 	return s.Key(client)
 }
 
-// Clients are sessions that come, work, go and come again.
+// Clients is a running group of clients, each of which opens a session, works, closes it and opens another.
 type Clients struct {
 	stop    context.CancelFunc
 	running sync.WaitGroup
 }
 
-// StartClients starts so many clients. Their numbers, which name their statements, begin at first.
+// StartClients starts the given count of clients. They are numbered from first on; IDs of statements contain the number.
 func StartClients(first, count int, settings ClientSettings) *Clients {
 	ctx, stop := context.WithCancel(context.Background())
 	started := &Clients{stop: stop}
@@ -86,7 +86,7 @@
 	}
 }
 
-// client is one of them.
+// client runs operations one after the other and records them in the history.
 type client struct {
 	ClientSettings
 	number     int
@@ -101,32 +101,32 @@
 }
 
 func (c *client) work(ctx context.Context) {
-	defer c.leave()
+	defer c.disconnect()
 	for ctx.Err() == nil {
-		c.operate(ctx)
+		c.runOperation(ctx)
 		if !c.Eager {
-			rest(ctx, restLeast+time.Duration(c.random.Int64N(int64(restMost-restLeast))))
+			pause(ctx, minPause+time.Duration(c.random.Int64N(int64(maxPause-minPause))))
 		}
 	}
 }
 
-func (c *client) leave() {
+func (c *client) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// operate does one operation, with as many tries as are allowed.
-func (c *client) operate(ctx context.Context) {
+// runOperation does one operation, and retries it until it ends, may have had an effect or times out.
+func (c *client) runOperation(ctx context.Context) {
 	c.operations++
 	if c.operations > sessionLength {
-		c.leave()
+		c.disconnect()
 	}
 	kind := operationKind(c.random.IntN(int(operationKinds)))
 	writes := c.newWrites(kind)
 	began := time.Now()
-	for time.Since(began) < operationWait {
+	for time.Since(began) < operationTimeout {
 		outcome := c.try(kind, writes)
 		if outcome == Done && len(writes) > 0 {
 			c.History.addWait(time.Since(began))
@@ -134,11 +134,11 @@
 		if outcome != NoEffect || ctx.Err() != nil {
 			return
 		}
-		rest(ctx, retryRest)
+		pause(ctx, retryPause)
 	}
 }
 
-// newWrites are those of an operation: no two operations write the same data.
+// newWrites returns the writes of a new operation. No two operations write the same data.
 func (c *client) newWrites(kind operationKind) []testinstance.Write {
 	count := 1
 	switch kind {
@@ -150,12 +150,12 @@
 	var writes []testinstance.Write
 	for range count {
 		c.written++
-		writes = append(writes, testinstance.Write{Key: c.thing(), Data: fmt.Sprintf("d%d.%d", c.number, c.written)})
+		writes = append(writes, testinstance.Write{Key: c.randomKey(), Data: fmt.Sprintf("d%d.%d", c.number, c.written)})
 	}
 	return writes
 }
 
-func (c *client) thing() string { return fmt.Sprintf("t%d", c.random.IntN(things)) }
+func (c *client) randomKey() string { return fmt.Sprintf("t%d", c.random.IntN(keyCount)) }
 
 // try does the operation once.
 func (c *client) try(kind operationKind, writes []testinstance.Write) Outcome {
@@ -165,9 +165,9 @@
 	c.tries++
 	switch kind {
 	case aRead:
-		return c.ask(time.Now(), c.fetchText(c.thing()), nil)
+		return c.ask(time.Now(), c.fetchText(c.randomKey()), nil)
 	case aTransaction:
-		return c.transact(writes)
+		return c.runTransaction(writes)
 	}
 	return c.ask(time.Now(), c.putText(writes[0]), writes)
 }
@@ -188,15 +188,15 @@
 
 // connect opens a session at one of the gateways.
 func (c *client) connect() bool {
-	ctx, cancel := context.WithTimeout(context.Background(), connectWait)
+	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	gateways := c.Gateways()
 	address := gateways[c.random.IntN(len(gateways))]
 	if !c.open(ctx, address) {
 		return false
 	}
-	return c.own(wire.PrepareText(preparedWrite, wire.Put, "shape-w")) &&
-		c.own(wire.PrepareText(preparedRead, wire.Fetch, "shape-r"))
+	return c.askUnrecorded(wire.PrepareText(preparedWrite, wire.Put, "shape-w")) &&
+		c.askUnrecorded(wire.PrepareText(preparedRead, wire.Fetch, "shape-r"))
 }
 
 // open opens a session at a gateway.
@@ -213,11 +213,11 @@
 	return true
 }
 
-// own asks what has no part in the history, and tells whether it succeeded.
-func (c *client) own(text string) bool {
-	answer, err := c.conn.QueryUntil(time.Now().Add(tryWait), c.nextID(), text)
+// askUnrecorded sends a statement that is not recorded in the history, and reports whether it succeeded.
+func (c *client) askUnrecorded(text string) bool {
+	answer, err := c.conn.QueryUntil(time.Now().Add(answerTimeout), c.nextID(), text)
 	if err != nil || answer.Code != "" {
-		c.leave()
+		c.disconnect()
 		return false
 	}
 	return true
@@ -226,17 +226,17 @@
 func (c *client) nextID() string {
 	c.asked++
 	id := fmt.Sprintf("s%d.%d", c.number, c.asked)
-	c.History.sends(id, c.gateway)
+	c.History.recordGateway(id, c.gateway)
 	return id
 }
 
-// ask sends a read, a write or a commit and writes down what came of it.
+// ask sends a read, a write or a commit and records its result.
 func (c *client) ask(began time.Time, text string, writes []testinstance.Write) Outcome {
 	statement := Statement{
 		Client: c.number, Key: c.key, Gateway: c.gateway, Try: fmt.Sprintf("%d.%d", c.number, c.tries),
 		ID: c.nextID(), Text: text, Began: began, Sent: time.Now(), Writes: writes,
 	}
-	answer, err := c.conn.QueryUntil(time.Now().Add(tryWait), statement.ID, text)
+	answer, err := c.conn.QueryUntil(time.Now().Add(answerTimeout), statement.ID, text)
 	statement.Answered = time.Now()
 	statement.Code, statement.Stamp, statement.Rows = answer.Code, answer.Stamp, answer.Rows
 	switch {
@@ -250,41 +250,41 @@
 		statement.Outcome = NoEffect
 	}
 	if err != nil || answer.State == wire.Failed {
-		c.leave()
+		c.disconnect()
 	}
 	c.History.add(statement)
 	return statement.Outcome
 }
 
-// transact writes within a transaction, after a read; some are rolled back.
-func (c *client) transact(writes []testinstance.Write) Outcome {
+// runTransaction does a read and the writes in a transaction. Some transactions are rolled back.
+func (c *client) runTransaction(writes []testinstance.Write) Outcome {
 	began := time.Now()
-	if !c.own(string(wire.Begin)) {
+	if !c.askUnrecorded(string(wire.Begin)) {
 		return NoEffect
 	}
-	if c.ask(began, c.fetchText(c.thing()), nil) != Done {
-		return c.giveUp()
+	if c.ask(began, c.fetchText(c.randomKey()), nil) != Done {
+		return c.abandon()
 	}
 	for _, write := range writes {
 		if c.ask(began, c.putText(write), nil) != Done {
-			return c.giveUp()
+			return c.abandon()
 		}
 	}
 	if c.random.IntN(shareRollback) == 0 {
-		c.own(string(wire.Abort))
+		c.askUnrecorded(string(wire.Abort))
 		return Unknown // the operation is over
 	}
 	return c.ask(began, string(wire.Commit), writes)
 }
 
-// giveUp ends a transaction whose commit was not sent.
-func (c *client) giveUp() Outcome {
-	c.leave()
+// abandon closes the session of a transaction whose commit was not sent, which therefore has no effect.
+func (c *client) abandon() Outcome {
+	c.disconnect()
 	return NoEffect
 }
 
-// rest waits, unless the context ends.
-func rest(ctx context.Context, duration time.Duration) {
+// pause waits until the duration has passed or the context ends.
+func pause(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/systemtest/workload/history.go
+++ b/systemtest/workload/history.go
@@ -1,5 +1,5 @@
-// Package workload puts a running system under load and judges what came of it: clients that speak the line protocol and
-// operators that place configurations write their histories down, and a judge compares these with what the instances did.
+// Package workload puts a running system under load and checks the results: clients that speak the line protocol and
+// operators that send configurations record their histories, which are compared with what the instances did.
 // It is for tests and demonstrations.
 package workload
 
@@ -12,7 +12,7 @@
 	"eiderway/wire"
 )
 
-// Outcome is what a client knows of a statement.
+// Outcome is what a client knows of the effect of a statement.
 type Outcome int
 
 const (
@@ -20,7 +20,7 @@
 	Unknown Outcome = iota
 	// Done: the statement succeeded.
 	Done
-	// NoEffect: an answer that promises that nothing of the try is kept.
+	// NoEffect: the try certainly has no effect, as the answer promises or because the statement was not sent.
 	NoEffect
 )
 
@@ -29,30 +29,30 @@
 	Client   int
 	Key      string // with which the client connected
 	Gateway  string // front address
-	Try      string // of the operation: names all statements of a transaction, and a single one alike
+	Try      string // identifies one try of an operation; all statements of a transaction share it
 	ID       string
 	Text     string
 	Began    time.Time // before the first byte of the statement, or of its transaction
 	Sent     time.Time // before the first byte of the statement
 	Answered time.Time
 	Outcome  Outcome
-	Code     wire.Code // of an ERROR
+	Code     wire.Code // of an ERROR; empty: none
 	Stamp    string
 	Rows     []string
-	Writes   []testinstance.Write // that it commits
+	Writes   []testinstance.Write // that the statement commits
 }
 
-// History is what all clients saw. Any number of clients may add to it.
+// History records what all clients sent and saw. It is safe for concurrent use.
 type History struct {
 	mutex      sync.Mutex
 	statements []Statement
 	waits      []time.Duration
-	through    map[string]string // front addresses, by statement
+	gateways   map[string]string // front addresses, by statement
 	refused    map[string]int    // sessions that were refused with AUTHFAIL, by key
-	sessions   int               // that tests have driven
+	sessions   int               // opened by tests so far
 }
 
-// nextSession numbers the sessions that tests drive.
+// nextSession returns the number of a new session that a test drives.
 func (h *History) nextSession() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -60,21 +60,21 @@
 	return h.sessions
 }
 
-// sends notes which gateway a statement is sent through.
-func (h *History) sends(id, gateway string) {
+// recordGateway records which gateway a statement is sent through.
+func (h *History) recordGateway(id, gateway string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.through == nil {
-		h.through = map[string]string{}
+	if h.gateways == nil {
+		h.gateways = map[string]string{}
 	}
-	h.through[id] = gateway
+	h.gateways[id] = gateway
 }
 
-// GatewayOf is the front address of the gateway that a statement was sent through.
+// GatewayOf returns the front address of the gateway that a statement was sent through.
 func (h *History) GatewayOf(id string) (address string, known bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	address, known = h.through[id]
+	address, known = h.gateways[id]
 	return address, known
 }
 
@@ -87,7 +87,7 @@
 	h.refused[key]++
 }
 
-// AuthFailures is how many sessions with the key were refused with AUTHFAIL until now.
+// AuthFailures returns how many sessions with the key have been refused with AUTHFAIL so far.
 func (h *History) AuthFailures(key string) int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -100,8 +100,8 @@
 	h.statements = append(h.statements, statement)
 }
 
-// last is the newest statement of a client.
-func (h *History) last(client int) Statement {
+// lastOf returns the newest statement of a client.
+func (h *History) lastOf(client int) Statement {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, statement := range slices.Backward(h.statements) {
@@ -112,28 +112,28 @@
 	return Statement{}
 }
 
-// addWait notes how long a client waited for a write from its first try to its acknowledgement.
+// addWait records how long a client waited for a write from its first try to its acknowledgement.
 func (h *History) addWait(wait time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.waits = append(h.waits, wait)
 }
 
-// Statements returns what was written down until now.
+// Statements returns the statements recorded so far.
 func (h *History) Statements() []Statement {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return slices.Clone(h.statements)
 }
 
-// Acknowledged is how many writes were acknowledged until now.
+// Acknowledged returns how many operations with writes have been acknowledged so far.
 func (h *History) Acknowledged() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return len(h.waits)
 }
 
-// Waits are the waits for acknowledged writes, in the order of the acknowledgements.
+// Waits returns the waits for acknowledged writes, in the order of the acknowledgements.
 func (h *History) Waits() []time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/systemtest/workload/judge.go
+++ b/systemtest/workload/judge.go
@@ -12,27 +12,27 @@
 	"eiderway/wire"
 )
 
-// Evidence is all that a judge looks at.
+// Evidence is the recorded history that Judge checks.
 type Evidence struct {
 	Statements []Statement
 	Journal    testinstance.Journal
-	Final      testinstance.Log // of the instance that leads at the end
-	DrainTime  time.Duration    // after which nothing may be begun at an instance that has said that it goes
-	// MayRunLate says of what an instance ran that its caller stood still just before, so that it may come too late; nil: of nothing.
+	Final      testinstance.Log // of the instance that is primary at the end
+	DrainTime  time.Duration    // after an acknowledged departure; nothing may be begun at the instance later
+	// MayRunLate reports whether an execution may come after the drain time, because its caller was stopped shortly before; nil: none may.
 	MayRunLate func(testinstance.Execution) bool
 }
 
-// Judge returns the rules that were broken, each with what breaks it; none if all were kept.
+// Judge returns the violations found, each with the name of its rule; none if all rules hold.
 func Judge(evidence Evidence) []string {
 	j := newJudge(evidence)
-	j.instancesRanWhatWasAsked()
-	j.successesAreTrue()
-	j.commitsAreKeptOnce()
-	j.promisesAreKept()
-	j.promotedHoldAcknowledged()
-	j.readsAreFresh()
-	j.onePrimary()
-	j.departedAreLeftAlone()
+	j.checkOnlySentStatementsRan()
+	j.checkSuccessesMatchExecutions()
+	j.checkCommitsAreStoredOnce()
+	j.checkPromisesOfNoEffect()
+	j.checkPromotedHoldAcknowledged()
+	j.checkReadsAreFresh()
+	j.checkOnePrimary()
+	j.checkDepartedAreUnused()
 	return j.broken
 }
 
@@ -41,7 +41,7 @@
 	broken []string
 	asked  map[string]Statement              // by id
 	stamps map[string]testinstance.Execution // by stamp
-	kept   map[string][]testinstance.Entry
+	stored map[string][]testinstance.Entry
 }
 
 func newJudge(evidence Evidence) *judge {
@@ -49,7 +49,7 @@
 		Evidence: evidence,
 		asked:    map[string]Statement{},
 		stamps:   map[string]testinstance.Execution{},
-		kept:     map[string][]testinstance.Entry{},
+		stored:   map[string][]testinstance.Entry{},
 	}
 	for _, statement := range evidence.Statements {
 		j.asked[statement.ID] = statement
@@ -58,7 +58,7 @@
 		j.stamps[ran.Stamp] = ran
 	}
 	for _, entry := range evidence.Final {
-		j.kept[entry.ID] = append(j.kept[entry.ID], entry)
+		j.stored[entry.ID] = append(j.stored[entry.ID], entry)
 	}
 	return j
 }
@@ -67,8 +67,8 @@
 	j.broken = append(j.broken, rule+": "+fmt.Sprintf(format, arguments...))
 }
 
-// instancesRanWhatWasAsked: only what a client sent, with its id and text.
-func (j *judge) instancesRanWhatWasAsked() {
+// checkOnlySentStatementsRan checks that instances ran only statements that a client sent, under their IDs and with their texts.
+func (j *judge) checkOnlySentStatementsRan() {
 	for _, ran := range j.Journal.Executions {
 		asked, known := j.asked[ran.ID]
 		if !known || !sameText(asked.Text, ran.Text) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// sameText tells whether an instance's statement is a client's. Prepared names may differ.
+// sameText reports whether an instance ran the text that a client sent. Names of prepared statements may differ.
 func sameText(asked, ran string) bool { return withoutName(asked) == withoutName(ran) }
 
 func withoutName(text string) string {
@@ -87,8 +87,8 @@
 	return wire.RenameExecute(text, "")
 }
 
-// successesAreTrue: with the stamp and the rows of the instance that ran just this statement.
-func (j *judge) successesAreTrue() {
+// checkSuccessesMatchExecutions checks that each success carries the stamp and the rows of an execution of the same statement.
+func (j *judge) checkSuccessesMatchExecutions() {
 	for _, statement := range j.Statements {
 		if statement.Outcome != Done {
 			continue
@@ -100,9 +100,9 @@
 	}
 }
 
-// commitsAreKeptOnce: what was acknowledged is there, and nothing is there twice.
-func (j *judge) commitsAreKeptOnce() {
-	for id, entries := range j.kept {
+// checkCommitsAreStoredOnce checks that the final log holds every acknowledged commit, and none twice.
+func (j *judge) checkCommitsAreStoredOnce() {
+	for id, entries := range j.stored {
 		if len(entries) > 1 {
 			j.report("TWICE", "%s is in the log %d times", id, len(entries))
 		}
@@ -111,13 +111,13 @@
 		}
 	}
 	for _, statement := range j.acknowledgedWrites() {
-		if len(j.kept[statement.ID]) == 0 {
+		if len(j.stored[statement.ID]) == 0 {
 			j.report("LOST", "%s %q was acknowledged and is gone", statement.ID, statement.Text)
 		}
 	}
 }
 
-// acknowledgedWrites are the commits that their clients know of, in the order in which these heard.
+// acknowledgedWrites returns the acknowledged commits in the order of the acknowledgements.
 func (j *judge) acknowledgedWrites() []Statement {
 	var writes []Statement
 	for _, statement := range j.Statements {
@@ -129,22 +129,22 @@
 	return writes
 }
 
-// promisesAreKept: nothing is kept of a try of which that was promised.
-func (j *judge) promisesAreKept() {
+// checkPromisesOfNoEffect checks that the final log holds nothing of a try whose answer promised no effect.
+func (j *judge) checkPromisesOfNoEffect() {
 	for _, statement := range j.Statements {
-		if statement.Outcome == NoEffect && len(j.kept[statement.ID]) > 0 {
+		if statement.Outcome == NoEffect && len(j.stored[statement.ID]) > 0 {
 			j.report("REFUSED", "%s %q was answered with %s and is kept", statement.ID, statement.Text, statement.Code)
 		}
 	}
 }
 
-// promotedHoldAcknowledged: whoever is promoted has all that clients knew by then to be committed.
-func (j *judge) promotedHoldAcknowledged() {
+// checkPromotedHoldAcknowledged checks that a promoted instance holds every commit acknowledged before its promotion.
+func (j *judge) checkPromotedHoldAcknowledged() {
 	writes := j.acknowledgedWrites()
-	for _, promote := range j.Journal.Promotions {
+	for _, promotion := range j.Journal.Promotions {
 		for _, write := range writes {
-			if write.Answered.Before(promote.At) && !promote.Log.Holds(j.positionOf(write)) {
-				j.report("LOST", "%s was promoted to term %d without %s", promote.Instance, promote.Term, write.ID)
+			if write.Answered.Before(promotion.At) && !promotion.Log.Holds(j.positionOf(write)) {
+				j.report("LOST", "%s was promoted to term %d without %s", promotion.Instance, promotion.Term, write.ID)
 			}
 		}
 	}
@@ -155,14 +155,14 @@
 	return log.End()
 }
 
-// acknowledgedUntil is the furthest position of what was acknowledged until a moment.
+// acknowledgedUntil is the highest log position acknowledged up to a moment.
 type acknowledgedUntil struct {
 	at       time.Time
 	position failover.Position
 }
 
-// readsAreFresh: a read runs on a log that holds all that was acknowledged before its first byte.
-func (j *judge) readsAreFresh() {
+// checkReadsAreFresh checks that a read runs on a log that holds every commit acknowledged before the first byte of the read was sent.
+func (j *judge) checkReadsAreFresh() {
 	var known []acknowledgedUntil
 	var furthest failover.Position
 	for _, write := range j.acknowledgedWrites() {
@@ -182,33 +182,36 @@
 	}
 }
 
-// onePrimary: what is committed at an old primary after a promote isn't acknowledged.
-func (j *judge) onePrimary() {
-	promotes := slices.Clone(j.Journal.Promotions)
-	slices.SortStableFunc(promotes, func(one, other testinstance.Promotion) int { return cmp.Compare(one.Term, other.Term) })
+// checkOnePrimary checks that no commit is acknowledged that an old primary made after the promotion of a newer one.
+func (j *judge) checkOnePrimary() {
+	promotions := slices.Clone(j.Journal.Promotions)
+	slices.SortStableFunc(promotions, func(one, other testinstance.Promotion) int { return cmp.Compare(one.Term, other.Term) })
 	for _, write := range j.acknowledgedWrites() {
 		ran := j.stamps[write.Stamp]
-		for _, promote := range promotes {
-			if promote.Term > ran.Term && promote.At.Before(ran.At) {
-				j.report("ONE", "%s was committed at %s in term %d after %s led term %d", write.ID, ran.Instance, ran.Term, promote.Instance, promote.Term)
+		for _, promotion := range promotions {
+			if promotion.Term > ran.Term && promotion.At.Before(ran.At) {
+				j.report("ONE", "%s was committed at %s in term %d after %s led term %d", write.ID, ran.Instance, ran.Term, promotion.Instance, promotion.Term)
 				break
 			}
 		}
 	}
 }
 
-// departedAreLeftAlone: no statement is begun at an instance later than the drain time after its end was acknowledged.
-func (j *judge) departedAreLeftAlone() {
+// checkDepartedAreUnused checks that no transaction or single statement begins at an instance once the drain time
+// has passed since the acknowledgement of its departure.
+func (j *judge) checkDepartedAreUnused() {
 	gone := map[string]time.Time{}
 	for _, departure := range j.Journal.Departures {
 		gone[departure.Instance] = departure.At.Add(j.DrainTime)
 	}
 	for _, ran := range j.Journal.Executions {
 		until, departed := gone[ran.Instance]
-		if departed && ran.First && ran.At.After(until) && !j.isExcused(ran) {
+		if departed && ran.First && ran.At.After(until) && !j.isAllowedLate(ran) {
 			j.report("DRAIN", "%s began at %s %v too late", ran.ID, ran.Instance, ran.At.Sub(until))
 		}
 	}
 }
 
-func (j *judge) isExcused(ran testinstance.Execution) bool { return j.MayRunLate != nil && j.MayRunLate(ran) }
+func (j *judge) isAllowedLate(ran testinstance.Execution) bool {
+	return j.MayRunLate != nil && j.MayRunLate(ran)
+}
--- a/systemtest/workload/layout.go
+++ b/systemtest/workload/layout.go
@@ -7,7 +7,7 @@
 	"eiderway/testing/loopback"
 )
 
-// Ports of all machines of a layout. They lie below those that are given to outgoing connections.
+// Ports of all machines of a layout. They lie below the range from which outgoing connections get theirs.
 const (
 	controlPort   = 8782
 	frontPort     = 8784
@@ -20,15 +20,15 @@
 
 const (
 	beatInterval = 300 // ms
-	graceS       = 4   // from SIGTERM to the end
+	graceS       = 4   // from SIGTERM to the end of the process
 	platformRate = 50  // calls a second
-	firstHost    = 10  // of the machines of a layout
+	firstHost    = 10  // host number of the first machine of a layout
 )
 
-// Layout gives addresses on loopback to the machines of a system: each has one of its own, and all have the same ports.
+// Layout assigns loopback addresses to the machines of a system: each has an address of its own, and all use the same ports.
 type Layout struct{ network loopback.Network }
 
-// NewLayout reserves a part of the loopback network, until the process ends.
+// NewLayout reserves a part of the loopback network until the process ends.
 func NewLayout() (Layout, error) {
 	network, err := loopback.ReserveNetwork()
 	return Layout{network: network}, err
@@ -41,10 +41,10 @@
 func gatewayHost(number int) int    { return 2*firstHost + number }
 func instanceHost(number int) int   { return 3*firstHost + number }
 
-// Control is where a controller is called by operators and instances.
+// Control returns the address at which operators and instances call a controller.
 func (l Layout) Control(number int) string { return l.address(controllerHost(number), controlPort) }
 
-// Controls are those of so many controllers.
+// Controls returns the control addresses of the given count of controllers.
 func (l Layout) Controls(count int) []string {
 	var controls []string
 	for number := range count {
@@ -53,22 +53,22 @@
 	return controls
 }
 
-// Front is where a gateway is called by clients.
+// Front returns the address at which clients call a gateway.
 func (l Layout) Front(number int) string { return l.address(gatewayHost(number), frontPort) }
 
-// Readiness is where a gateway is asked whether it is ready.
+// Readiness returns the address at which a gateway is asked whether it is ready.
 func (l Layout) Readiness(number int) string { return l.address(gatewayHost(number), readinessPort) }
 
-// Instance is the address of an instance.
+// Instance returns the address of an instance.
 func (l Layout) Instance(number int) string { return l.address(instanceHost(number), instancePort) }
 
-// Platform is the address of the platform.
+// Platform returns the address of the platform.
 func (l Layout) Platform() string { return l.address(4*firstHost, platformPort) }
 
-// Zone is that of the machine with this number.
+// Zone returns the zone of the machine with this number.
 func Zone(number int) string { return string(rune('a' + number)) }
 
-// Controller is what a controller is told, in a system of three of which one may be lost.
+// Controller returns the settings of a controller, in a system of three controllers of which one may be lost.
 func (l Layout) Controller(number int, firstStart bool, dataDirectory string) system.Settings {
 	settings := l.machine(fmt.Sprintf("controller-%d", number), controllerHost(number), Zone(number))
 	settings.Serves = []string{system.ServesControlPlane}
@@ -79,7 +79,7 @@
 	return settings
 }
 
-// Gateway is what a gateway is told.
+// Gateway returns the settings of a gateway.
 func (l Layout) Gateway(number int) system.Settings {
 	settings := l.machine(fmt.Sprintf("gateway-%d", number), gatewayHost(number), Zone(number))
 	settings.Serves = []string{system.ServesEdge}
--- a/systemtest/workload/operator.go
+++ b/systemtest/workload/operator.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	orderWait    = time.Second           // of silence, after which an operator calls another controller
-	orderRetry   = 50 * time.Millisecond // the first pause after a failure; it grows
-	orderPause   = time.Second           // the longest pause
-	mostRedirect = 2                     // that a caller follows
+	callTimeout   = time.Second           // for an answer, before an operator calls another controller
+	minRetryPause = 50 * time.Millisecond // the first pause after a failure; it doubles each time
+	maxRetryPause = time.Second           // the longest pause
+	maxRedirects  = 2                     // redirects that an operator follows
 )
 
-// Operator places configurations and reads them back. It is for one caller at a time.
+// Operator sends configurations and reads them back. It is not safe for concurrent use.
 type Operator struct {
 	Controllers func() []string // control addresses
 	Orders      *Orders
 	Service     string
 	Database    string
-	Tenants     func() []Tenant // that the next configuration has; nil: it has no table of tenants
+	Tenants     func() []Tenant // tenants of the next configuration; nil: it has no table of tenants
 	client      *http.Client
 }
 
-// Body is a configuration with one service and a route to it. A second route, to no real database, carries the content. Without a table of
-// tenants (nil) nobody needs a key.
+// Body returns a configuration with one service and a route to it. The host of a second route, which is no real database,
+// carries the content. Without a table of tenants (nil) clients need no key.
 func (o *Operator) Body(number int64, content string, tenants []Tenant) []byte {
 	route := func(name, host string) string {
 		return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":"/","routeClass":"primary","timeoutMs":2000,`+
@@ -46,7 +46,7 @@
 		number, route("r-main", o.Database), route("r-content", content), tenantTable(tenants), o.Service)
 }
 
-// Place sends a configuration until there is a clear answer or the context ends, and returns what came of it.
+// Place sends a configuration until there is a clear answer or the context ends, and returns the result.
 func (o *Operator) Place(ctx context.Context, number int64, content string) Order {
 	order := Order{Number: number, Content: content, Sent: time.Now()}
 	if o.Tenants != nil {
@@ -54,7 +54,7 @@
 	}
 	body := o.Body(number, content, order.Tenants)
 	o.Orders.begin(order)
-	rest := orderRetry
+	delay := minRetryPause
 	for ctx.Err() == nil && order.Status == 0 {
 		order.Tries++
 		status, _, err := o.call(ctx, http.MethodPost, "/config/replace", body)
@@ -62,7 +62,7 @@
 			order.Status = status
 			break
 		}
-		restFor(ctx, &rest)
+		backOff(ctx, &delay)
 	}
 	order.Answered = time.Now()
 	o.Orders.mutex.Lock()
@@ -71,7 +71,7 @@
 	return order
 }
 
-// isFinal tells whether an order ends with this status.
+// isFinal reports whether this status refuses an order for good, so that a retry is useless.
 func isFinal(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed,
@@ -81,25 +81,25 @@
 	return false
 }
 
-// errNotRead says that no controller has given the configuration in time.
+// errNotRead is returned if no controller answered with the configuration in time.
 var errNotRead = eris.New("the configuration was not read")
 
-// Fetch reads the configuration, at whichever controller answers.
+// Fetch reads the configuration from whichever controller answers.
 func (o *Operator) Fetch(ctx context.Context) (Fetched, error) {
 	read := Fetched{Sent: time.Now()}
-	rest := orderRetry
+	delay := minRetryPause
 	for ctx.Err() == nil {
 		status, body, err := o.call(ctx, http.MethodGet, "/config/fetch", nil)
 		if err == nil && status == http.StatusOK {
 			read.Answered = time.Now()
-			return o.understand(read, body)
+			return o.parse(read, body)
 		}
-		restFor(ctx, &rest)
+		backOff(ctx, &delay)
 	}
 	return Fetched{}, errNotRead
 }
 
-func (o *Operator) understand(read Fetched, body []byte) (Fetched, error) {
+func (o *Operator) parse(read Fetched, body []byte) (Fetched, error) {
 	var contents struct {
 		Number int64 `json:"configRevision"`
 		Routes []struct {
@@ -119,10 +119,10 @@
 	return read, nil
 }
 
-// call calls any controller. Redirects are followed.
+// call sends a request to a random controller and follows redirects.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
 	if o.client == nil {
-		o.client = NewHTTPClient(mostRedirect)
+		o.client = NewHTTPClient(maxRedirects)
 	}
 	controllers := o.Controllers()
 	address := controllers[rand.N(len(controllers))]
@@ -140,13 +140,13 @@
 	return response.StatusCode, content, err
 }
 
-// restFor waits, longer every time.
-func restFor(ctx context.Context, duration *time.Duration) {
-	rest(ctx, *duration+rand.N(*duration))
-	*duration = min(2**duration, orderPause)
+// backOff pauses with jitter and doubles the duration for the next time, up to a limit.
+func backOff(ctx context.Context, duration *time.Duration) {
+	pause(ctx, *duration+rand.N(*duration))
+	*duration = min(2**duration, maxRetryPause)
 }
 
-// Content names what an operator sends.
+// Content returns a text that identifies the configuration of an operator under a number.
 func Content(operator int, number int64) string {
 	return "op" + strconv.Itoa(operator) + "-" + strconv.FormatInt(number, 10)
 }
--- a/systemtest/workload/orders.go
+++ b/systemtest/workload/orders.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Order is a configuration that an operator sent, with what came of it in the end.
+// Order is a configuration that an operator sent, with its result.
 type Order struct {
 	Number   int64
 	Content  string // tells configurations of one number apart
@@ -27,10 +27,10 @@
 	Answered time.Time
 }
 
-// Orders is the history of all operators. Any number of them may add to it.
+// Orders is the history of all operators. It is safe for concurrent use.
 type Orders struct {
 	mutex   sync.Mutex
-	begun   []Order // as they were sent first
+	begun   []Order // all orders, as of their first try
 	orders  []Order
 	fetched []Fetched
 }
@@ -41,7 +41,7 @@
 	o.begun = append(o.begun, order)
 }
 
-// Sent are all orders, those that haven't ended included, which have no status.
+// Sent returns all orders. Those that haven't ended yet are included, with no status.
 func (o *Orders) Sent() []Order {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -55,21 +55,21 @@
 	return sent
 }
 
-// Completed are the orders that were ended until now, in any order.
+// Completed returns the orders that have ended so far, in no particular sequence.
 func (o *Orders) Completed() []Order {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return slices.Clone(o.orders)
 }
 
-// Fetched are the configurations that were read until now.
+// Fetched returns the configurations that have been read so far.
 func (o *Orders) Fetched() []Fetched {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return slices.Clone(o.fetched)
 }
 
-// NewestAcknowledged is the highest number that was acknowledged.
+// NewestAcknowledged returns the highest configuration number that was acknowledged.
 func (o *Orders) NewestAcknowledged() int64 {
 	var newest int64
 	for _, order := range o.Completed() {
@@ -80,8 +80,8 @@
 	return newest
 }
 
-// Judge returns what is wrong with a configuration that was read when nothing was under way any more: it must be no older
-// than the newest acknowledged one, and must have been sent under its number.
+// Judge returns the violations seen in a configuration that was read after all orders ended: it must be no older than
+// the newest acknowledged one, and must have been sent under its number. Violations of earlier reads are included.
 func (o *Orders) Judge(read Fetched) []string {
 	var broken []string
 	if newest := o.NewestAcknowledged(); read.Number < newest {
@@ -96,7 +96,7 @@
 	return append(broken, o.staleReads()...)
 }
 
-// staleReads are the reads that gave an older configuration than one that was acknowledged before they were sent.
+// staleReads returns the reads that got an older configuration than one acknowledged before they were sent.
 func (o *Orders) staleReads() []string {
 	var broken []string
 	for _, read := range o.Fetched() {
--- a/systemtest/workload/relay.go
+++ b/systemtest/workload/relay.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// Relay stands on loopback between two processes: what connects to it is connected to its target. Each direction can be cut, which the ends
-// don't hear of: bytes wait, and new connections get no further.
+// Relay forwards connections on loopback to its target. Each direction can be cut without the ends noticing: the bytes
+// wait, and new connections are accepted but not forwarded.
 type Relay struct {
 	listener net.Listener
 	target   string
 	running  sync.WaitGroup
 
-	mutex   sync.Mutex
-	changed *sync.Cond
-	there   bool // bytes go to the target
-	back    bool // bytes come back
-	closed  bool
-	open    map[net.Conn]struct{}
+	mutex      sync.Mutex
+	changed    *sync.Cond
+	toTarget   bool // bytes go to the target
+	fromTarget bool // bytes come back
+	closed     bool
+	open       map[net.Conn]struct{}
 }
 
 // StartRelay starts a relay in front of the target.
@@ -26,24 +26,24 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: listener, target: target, there: true, back: true, open: map[net.Conn]struct{}{}}
+	r := &Relay{listener: listener, target: target, toTarget: true, fromTarget: true, open: map[net.Conn]struct{}{}}
 	r.changed = sync.NewCond(&r.mutex)
 	r.running.Go(r.accept)
 	return r, nil
 }
 
-// Address is where the relay is connected to.
+// Address returns the address on which the relay accepts connections.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
 // SetPassing sets which directions carry bytes.
-func (r *Relay) SetPassing(there, back bool) {
+func (r *Relay) SetPassing(toTarget, fromTarget bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.there, r.back = there, back
+	r.toTarget, r.fromTarget = toTarget, fromTarget
 	r.changed.Broadcast()
 }
 
-// Close ends the relay and its connections.
+// Close closes the relay and its connections, and waits until all of them have ended.
 func (r *Relay) Close() {
 	r.mutex.Lock()
 	r.closed = true
@@ -62,14 +62,15 @@
 		if err != nil {
 			return
 		}
-		if r.keep(near) {
-			r.running.Go(func() { r.join(near) })
+		if r.track(near) {
+			r.running.Go(func() { r.forward(near) })
 		}
 	}
 }
 
-// keep notes a connection that is to be closed with the relay, and closes it at once if that is over.
-func (r *Relay) keep(connection net.Conn) bool {
+// track registers a connection that is closed with the relay. If the relay is closed already, it closes the connection at once
+// and returns false.
+func (r *Relay) track(connection net.Conn) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.closed {
@@ -80,35 +81,35 @@
 	return true
 }
 
-func (r *Relay) drop(connection net.Conn) {
+func (r *Relay) closeAndForget(connection net.Conn) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.open, connection)
 	_ = connection.Close()
 }
 
-// join connects to the target, once both directions are whole, and carries bytes both ways until one side ends.
-func (r *Relay) join(near net.Conn) {
-	defer r.drop(near)
-	if !r.await(func() bool { return r.there && r.back }) {
+// forward connects to the target once neither direction is cut, and copies bytes both ways until one side ends.
+func (r *Relay) forward(near net.Conn) {
+	defer r.closeAndForget(near)
+	if !r.await(func() bool { return r.toTarget && r.fromTarget }) {
 		return
 	}
 	far, err := net.Dial("tcp4", r.target)
-	if err != nil || !r.keep(far) {
+	if err != nil || !r.track(far) {
 		return
 	}
-	defer r.drop(far)
+	defer r.closeAndForget(far)
 	var returning sync.WaitGroup
 	returning.Go(func() {
-		r.carry(far, near, func() bool { return r.back })
+		r.copyBytes(far, near, func() bool { return r.fromTarget })
 		_ = near.Close()
 	})
-	r.carry(near, far, func() bool { return r.there })
+	r.copyBytes(near, far, func() bool { return r.toTarget })
 	_ = far.Close()
 	returning.Wait()
 }
 
-// await waits until something holds; false: the relay is closed.
+// await waits until the condition holds. It returns false if the relay is closed.
 func (r *Relay) await(holds func() bool) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -118,11 +119,11 @@
 	return !r.closed
 }
 
-func (r *Relay) carry(from, to net.Conn, isWhole func() bool) {
+func (r *Relay) copyBytes(from, to net.Conn, isPassing func() bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		count, err := from.Read(buffer)
-		if !r.await(isWhole) {
+		if !r.await(isPassing) {
 			return
 		}
 		if count > 0 {
--- a/systemtest/workload/session.go
+++ b/systemtest/workload/session.go
@@ -8,23 +8,23 @@
 	"eiderway/wire"
 )
 
-// Session is a client's session that a test drives by hand. It is for one caller at a time.
+// Session is a client's session that a test drives statement by statement. It is not safe for concurrent use.
 type Session struct {
-	client  *client
-	inside  bool // a transaction is open
-	pending []testinstance.Write
+	client        *client
+	inTransaction bool // a transaction is open
+	pending       []testinstance.Write
 }
 
-// statementsOfSession is more than a session that a test drives has. Sessions of one client may follow each other, and no two statements have
-// one id.
-const statementsOfSession = 1 << 20
+// statementsPerSession is more than the statements of any session that a test drives. It separates the IDs of successive
+// sessions of one client, as no two statements may share an ID.
+const statementsPerSession = 1 << 20
 
-// OpenSession opens a session of a client at a gateway; nil: it was refused, or the gateway didn't answer.
+// OpenSession opens a session of a client at a gateway. It returns nil if the gateway refused it or didn't answer.
 func OpenSession(number int, gateway string, settings ClientSettings) *Session {
-	ctx, cancel := context.WithTimeout(context.Background(), connectWait)
+	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	opened := newClient(number, settings)
-	first := settings.History.nextSession() * statementsOfSession
+	first := settings.History.nextSession() * statementsPerSession
 	opened.asked, opened.tries = first, first
 	if !opened.open(ctx, gateway) {
 		return nil
@@ -32,18 +32,18 @@
 	return &Session{client: opened}
 }
 
-// Begin begins a transaction, and tells whether that succeeded.
+// Begin begins a transaction, and reports whether that succeeded.
 func (s *Session) Begin() bool {
 	s.client.tries++
-	s.inside, s.pending = true, nil
-	return s.client.own(string(wire.Begin))
+	s.inTransaction, s.pending = true, nil
+	return s.client.askUnrecorded(string(wire.Begin))
 }
 
-// Put writes, within the open transaction if there is one.
+// Put sends a write, within the open transaction if there is one.
 func (s *Session) Put(thing, data string) Statement {
 	write := testinstance.Write{Key: thing, Data: data}
 	text := string(wire.Put) + " " + thing + " " + data
-	if s.inside {
+	if s.inTransaction {
 		s.pending = append(s.pending, write)
 		return s.ask(text, nil)
 	}
@@ -51,9 +51,9 @@
 	return s.ask(text, []testinstance.Write{write})
 }
 
-// Commit ends the open transaction.
+// Commit commits the open transaction.
 func (s *Session) Commit() Statement {
-	s.inside = false
+	s.inTransaction = false
 	return s.ask(string(wire.Commit), s.pending)
 }
 
@@ -62,8 +62,8 @@
 		return Statement{}
 	}
 	s.client.ask(time.Now(), text, writes)
-	return s.client.History.last(s.client.number)
+	return s.client.History.lastOf(s.client.number)
 }
 
 // Close ends the session.
-func (s *Session) Close() { s.client.leave() }
+func (s *Session) Close() { s.client.disconnect() }
--- a/systemtest/workload/tenant_judge.go
+++ b/systemtest/workload/tenant_judge.go
@@ -11,34 +11,34 @@
 	"eiderway/wire"
 )
 
-// TenantRules are the figures of the rules on keys and limits.
+// TenantRules are the bounds of the rules on keys and limits.
 type TenantRules struct {
-	Revoke  time.Duration // within which a key that was taken away is of no use at any gateway
+	Revoke  time.Duration // time after which no gateway accepts a key that was taken away
 	Window  time.Duration // in which operations are counted
-	Overrun float64
-	Slack   float64 // operations
+	Overrun float64       // fraction by which a limit may be exceeded
+	Slack   float64       // operations
 }
 
-// TenantEvidence is what a judge of tenants looks at.
+// TenantEvidence is the recorded history that JudgeTenants checks.
 type TenantEvidence struct {
 	Statements []Statement
 	Orders     []Order // all that were sent
 	Journal    testinstance.Journal
 	Rules      TenantRules
-	// LimitBinds is when a lower limit, acknowledged at the time given, binds all gateways; nil: never.
+	// LimitBinds returns when a lower limit that was acknowledged at the given time binds all gateways; nil: never.
 	LimitBinds func(acknowledged time.Time) time.Time
 }
 
-// JudgeTenants returns the rules on tenants, keys and limits that were broken, each with what breaks it.
+// JudgeTenants returns the violations of the rules on tenants, keys and limits, each with the name of its rule.
 func JudgeTenants(evidence TenantEvidence) []string {
 	j := &tenantJudge{TenantEvidence: evidence, asked: map[string]Statement{}}
 	for _, statement := range evidence.Statements {
 		j.asked[statement.ID] = statement
 	}
-	j.noKeyReachesAnInstance()
-	j.statementsRunAsTheirTenants()
-	j.lastingKeysAreServed()
-	j.limitsHold()
+	j.checkInstancesSeeNoKey()
+	j.checkStatementsRunAsTheirTenants()
+	j.checkLastingKeysAreAccepted()
+	j.checkLimits()
 	return j.broken
 }
 
@@ -52,16 +52,16 @@
 	j.broken = append(j.broken, rule+": "+fmt.Sprintf(format, arguments...))
 }
 
-// acknowledged tells whether the order was acknowledged before a moment.
+// acknowledged reports whether the order was acknowledged before a moment.
 func (o Order) acknowledged(before time.Time) bool {
 	return o.Status == http.StatusOK && o.Answered.Before(before)
 }
 
-// wasRefused tells whether the order certainly never was in force.
+// wasRefused reports whether the order certainly never was in force.
 func (o Order) wasRefused() bool { return isFinal(o.Status) }
 
-// noKeyReachesAnInstance: instances are told names of tenants.
-func (j *tenantJudge) noKeyReachesAnInstance() {
+// checkInstancesSeeNoKey checks that instances are given names of tenants at CONNECT, never keys.
+func (j *tenantJudge) checkInstancesSeeNoKey() {
 	keys := map[string]bool{}
 	for _, order := range j.Orders {
 		for _, tenant := range order.Tenants {
@@ -80,12 +80,13 @@
 	}
 }
 
-// statementsRunAsTheirTenants: a statement runs in the name of a tenant that holds its client's key by a configuration that may be in force.
-func (j *tenantJudge) statementsRunAsTheirTenants() {
+// checkStatementsRunAsTheirTenants checks that a statement runs as a tenant that holds its client's key in a configuration
+// that may be in force.
+func (j *tenantJudge) checkStatementsRunAsTheirTenants() {
 	for _, ran := range j.Journal.Executions {
 		asked, known := j.asked[ran.ID]
 		if !known {
-			continue // the judge of statements sees it
+			continue // Judge reports it
 		}
 		switch ever, now := j.holders(asked, ran); {
 		case len(ever) == 0:
@@ -98,8 +99,8 @@
 	}
 }
 
-// holders are the tenants that held the key of a statement by any configuration sent before it ran, and by one that may still have been in
-// force for it.
+// holders returns the tenants that held the key of a statement in any configuration sent before it ran (ever), and
+// those that held it in one that may still have been in force for the statement (now).
 func (j *tenantJudge) holders(asked Statement, ran testinstance.Execution) (ever, now []string) {
 	for _, order := range j.Orders {
 		holder := holderOf(order.Tenants, asked.Key)
@@ -114,15 +115,15 @@
 	return ever, now
 }
 
-// isOutdated tells whether a newer configuration than this binds all statements that are sent at a moment.
+// isOutdated reports whether a configuration newer than this one binds all statements that are sent at a moment.
 func (j *tenantJudge) isOutdated(order Order, at time.Time) bool {
 	return slices.ContainsFunc(j.Orders, func(newer Order) bool {
 		return newer.Number > order.Number && newer.acknowledged(at.Add(-j.Rules.Revoke))
 	})
 }
 
-// lastingKeysAreServed: a key that each configuration holds, from the first one on, is never refused.
-func (j *tenantJudge) lastingKeysAreServed() {
+// checkLastingKeysAreAccepted checks that a key that every configuration holds is never refused.
+func (j *tenantJudge) checkLastingKeysAreAccepted() {
 	for _, statement := range j.Statements {
 		if statement.Code != wire.AuthFail {
 			continue
@@ -134,13 +135,13 @@
 	}
 }
 
-// operation is a try of a client that an instance has run.
+// operation is a try of a client of which an instance has run at least one statement.
 type operation struct {
-	sent time.Time // its first statement, by the client
-	ran  time.Time // the first of it that arrived at an instance
+	sent time.Time // when the client sent its first statement
+	ran  time.Time // when an instance first ran a statement of it
 }
 
-// operations are those of each tenant, by the time at which they were sent.
+// operations returns the operations of each tenant, sorted by the time at which they were sent.
 func (j *tenantJudge) operations() map[string][]operation {
 	type owner struct{ tenant, try string }
 	found := map[owner]operation{}
@@ -164,16 +165,16 @@
 	return byTenant
 }
 
-// limitsHold: in every window a tenant has no more operations, sent and arrived in it, than its limit allows.
-func (j *tenantJudge) limitsHold() {
+// checkLimits checks that in every window a tenant has no more operations, sent and run in it, than its limit allows.
+func (j *tenantJudge) checkLimits() {
 	byTenant := j.operations()
 	names := slices.Sorted(maps.Keys(byTenant))
 	for _, tenant := range names {
-		j.limitHolds(tenant, byTenant[tenant])
+		j.checkLimit(tenant, byTenant[tenant])
 	}
 }
 
-func (j *tenantJudge) limitHolds(tenant string, all []operation) {
+func (j *tenantJudge) checkLimit(tenant string, all []operation) {
 	for first, start := range all {
 		end := start.sent.Add(j.Rules.Window)
 		count := 0
@@ -185,18 +186,18 @@
 				count++
 			}
 		}
-		most, limited := j.mostIn(tenant, start.sent, end)
+		most, limited := j.allowedIn(tenant, start.sent, end)
 		if limited && float64(count) > most {
 			j.report("QUOTA", "%s had %d operations in the window from %v, %.1f at the most", tenant, count, start.sent, most)
-			return // one is enough of each tenant
+			return // one report for each tenant is enough
 		}
 	}
 }
 
-// mostIn is how many operations of a tenant a window may hold: by the highest limit that may be in force in it.
-func (j *tenantJudge) mostIn(tenant string, from, to time.Time) (most float64, limited bool) {
+// allowedIn returns how many operations of a tenant a window may hold, by the highest limit that may be in force in it.
+func (j *tenantJudge) allowedIn(tenant string, from, to time.Time) (most float64, limited bool) {
 	for _, order := range j.Orders {
-		if order.wasRefused() || order.Sent.After(to) || j.limitIsOver(order, from) {
+		if order.wasRefused() || order.Sent.After(to) || j.isLimitSuperseded(order, from) {
 			continue
 		}
 		at := slices.IndexFunc(order.Tenants, func(one Tenant) bool { return one.Name == tenant })
@@ -213,8 +214,8 @@
 	return most, limited
 }
 
-// limitIsOver tells whether a newer configuration's limits bind all gateways in windows that begin at a moment.
-func (j *tenantJudge) limitIsOver(order Order, at time.Time) bool {
+// isLimitSuperseded reports whether the limits of a newer configuration bind all gateways in windows that begin at a moment.
+func (j *tenantJudge) isLimitSuperseded(order Order, at time.Time) bool {
 	if j.LimitBinds == nil {
 		return false
 	}
--- a/systemtest/world_test.go
+++ b/systemtest/world_test.go
@@ -320,7 +320,7 @@
 		Journal:    w.service.Journal(),
 		Final:      w.service.Leader().Log(),
 		DrainTime:  drainTime,
-		MayRunLate:    w.excused,
+		MayRunLate: w.excused,
 	})...)
 	broken = append(broken, judgeFences(w.platform.Calls())...)
 	broken = append(broken, w.brokenInvariants()...)
