--- a/systemtest/doc.go
+++ b/systemtest/doc.go
@@ -1,3 +1,3 @@
-// Package systemtest runs the system as processes of their own on loopback, takes some of them away under load, and judges
-// the clients' and operators' histories afterwards. All of it is in its tests; workload holds what puts the load on.
+// Package systemtest runs the system as separate processes on loopback, stops and kills some of them under load, and checks
+// the histories of clients and operators afterwards. It has only tests; package workload generates the load.
 package systemtest
--- a/systemtest/drain_test.go
+++ b/systemtest/drain_test.go
@@ -7,11 +7,11 @@
 	"eiderway/testinstance"
 )
 
-// drainWatch is how long the end of an instance is watched: until it has ended, some time after it was to be left alone.
+// drainWatch is how long a departing instance is watched: past the drain time, until the instance has ended.
 const drainWatch = drainTime + 2*time.Second
 
-// TestLastInstanceDrains has both replicas crash for good, and then the primary, which is alone, drain, with nobody in its place. No
-// statement may be begun there once the drain time is over, though nobody can follow.
+// TestLastInstanceDrains crashes both replicas for good and then drains the primary, which has no successor. Even so, no
+// statement may be begun there once the drain time is over.
 func TestLastInstanceDrains(t *testing.T) {
 	t.Parallel() // mostly waits
 	w := startWorld(t)
@@ -32,9 +32,9 @@
 	w.conclude()
 }
 
-// TestInstancesThatLeftStayAway has both replicas leave without having drained. They serve on, say that they are ready, and calls of
-// theirs come late; then the primary drains. None of those that left may lead, however long they go on.
-func TestInstancesThatLeftStayAway(t *testing.T) {
+// TestDepartedInstancesNeverLead has both replicas leave without draining. They go on serving and reporting ready, and some
+// of their calls arrive late; then the primary drains. A replica that left must never become primary, however long it goes on.
+func TestDepartedInstancesNeverLead(t *testing.T) {
 	t.Parallel() // mostly waits
 	w := startWorldWith(t, func(settings *testinstance.Settings) {
 		settings.BeatsAfterLeave = true
@@ -47,7 +47,7 @@
 	w.conclude()
 }
 
-// replicasLeave has all but the primary leave.
+// replicasLeave has all instances but the primary leave.
 func (w *world) replicasLeave() {
 	w.Helper()
 	for _, one := range w.instances {
@@ -58,7 +58,7 @@
 	w.awaitDepartures(instanceCount - 1)
 }
 
-// awaitDepartures waits until so many instances have had their drain or leave acknowledged.
+// awaitDepartures waits until the drain or leave of the given count of instances is acknowledged.
 func (w *world) awaitDepartures(count int) {
 	w.Helper()
 	w.await("drains and leaves are acknowledged", func() bool { return len(w.service.Journal().Departures) == count })
--- a/systemtest/keys_test.go
+++ b/systemtest/keys_test.go
@@ -17,33 +17,33 @@
 	"eiderway/wire"
 )
 
-// told is what was told to somebody, by what it was.
-type told map[string]string
+// outputs are texts that left a process, by a name of their origin.
+type outputs map[string]string
 
-// holdNoKey wants that nothing that was told holds a key.
-func (o told) holdNoKey(t *testing.T) {
+// expectNoKey fails the test if an output contains a key.
+func (o outputs) expectNoKey(t *testing.T) {
 	t.Helper()
 	for what, text := range o {
 		for _, key := range allKeys() {
 			if strings.Contains(text, key) {
-				t.Errorf("%s: a key is told: %q", what, text)
+				t.Errorf("%s: contains a key: %q", what, text)
 			}
 		}
 	}
 }
 
-// A key must stand in no log, error, figure, answer over HTTP but that of GET /config/fetch, or output of a command.
-func TestTenantsKeysStandNowhere(t *testing.T) {
+// A key must not appear in any log, error, metric, output of a command or HTTP answer, except that of GET /config/fetch.
+func TestTenantsKeysAreNeverDisclosed(t *testing.T) {
 	t.Parallel() // mostly waits
 	is := is.New(t)
-	const figures = "9464/metrics"
-	w := startTenants(t, noSettings, noLinks, shortBounds, "--metrics", figures)
-	answers := told{}
+	const metrics = "9464/metrics"
+	w := startTenants(t, noSettings, noLinks, shortBounds, "--metrics", metrics)
+	answers := outputs{}
 	for name, table := range badTenants() {
 		body := strings.Replace(string(w.operator().Body(1<<40, "bad", []workload.Tenant{})), `"tenantTable":[]`, `"tenantTable":`+table, 1)
 		for _, address := range w.controls() {
 			status, text := post(t, "http://"+address+"/config/replace", body)
-			is.True(status != http.StatusOK) // name says which
+			is.True(status != http.StatusOK) // the name in answers says which table
 			answers[name+" at "+address] = text
 		}
 	}
@@ -59,10 +59,10 @@
 	w.awaitRefused(1, 0, doomedKey)
 	w.awaitRefused(2, 1, doomedKey)
 	for number := range gatewayCount {
-		answers[gatewayName(number)+"'s figures"] = get(t, "http://"+w.layout.Gateway(number).IPAddress+":"+figures)
+		answers[gatewayName(number)+"'s metrics"] = get(t, "http://"+w.layout.Gateway(number).IPAddress+":"+metrics)
 	}
 	for number := range workload.ControllerCount {
-		answers[controllerName(number)+"'s figures"] = get(t, "http://"+w.layout.Controller(number, false, "").IPAddress+":"+figures)
+		answers[controllerName(number)+"'s metrics"] = get(t, "http://"+w.layout.Controller(number, false, "").IPAddress+":"+metrics)
 	}
 	w.awaitMembers()
 	stopped := w.leader()
@@ -73,14 +73,14 @@
 	answers["state dump"] = command(is, "state", "dump", file)
 	w.startController(stopped, false)
 	w.awaitOrders("after the look at its state")
-	answers.holdNoKey(t)
-	w.conclude() // looks into the logs, too
+	answers.expectNoKey(t)
+	w.conclude() // also searches the logs for keys
 	is.True(w.logged("configuration taken over") > 0)
 }
 
-// badTenants are tables that are refused, by what is wrong with them.
-func badTenants() told {
-	return told{
+// badTenants returns tables of tenants that must be refused, by what is wrong with them.
+func badTenants() outputs {
+	return outputs{
 		"a shared key":       `[{"name":"a","apiKeys":["` + doomedKey + `"]},{"name":"b","apiKeys":["` + doomedKey + `"]}]`,
 		"a key with a blank": `[{"name":"a","apiKeys":["` + doomedKey + ` x"]}]`,
 		"keys as fields":     `[{"name":"a","apiKeys":{"` + doomedKey + `":1,"` + doomedKey + `":2}}]`,
@@ -94,7 +94,7 @@
 	}
 }
 
-// answerTo is what a gateway answers to the first line of a client.
+// answerTo returns the answer of a gateway to the first line of a client.
 func (w *world) answerTo(line string) string {
 	w.Helper()
 	network, err := net.Dial("tcp4", w.layout.Front(0))
@@ -129,12 +129,12 @@
 	defer answer.Body.Close()
 	content, _ := io.ReadAll(answer.Body)
 	if !bytes.Contains(content, []byte("eidersystem_")) {
-		t.Errorf("%s: no figures", url)
+		t.Errorf("%s: no metrics", url)
 	}
 	return string(content)
 }
 
-// command is all that a command of the program writes.
+// command runs the program with these arguments and returns all its output.
 func command(is *is.I, arguments ...string) string {
 	is.Helper()
 	output, err := exec.Command(binary, arguments...).CombinedOutput()
--- a/systemtest/links_test.go
+++ b/systemtest/links_test.go
@@ -5,15 +5,15 @@
 	"eiderway/systemtest/workload"
 )
 
-// links are relays that stand between each process and each controller that it speaks to, so that a test can cut one from the other.
+// links are relays between each process and each controller that it connects to, so that a test can cut the connection.
 type links struct {
 	relays map[link]*workload.Relay
 }
 
-// link is a way from a process, which connects, to a controller.
+// link is the path from a process, which connects, to a controller.
 type link struct{ from, to string }
 
-// startLinks starts relays between all processes of a world.
+// startLinks starts the relays from all processes of a world to the controllers.
 func startLinks(w *world) *links {
 	w.Helper()
 	l := &links{relays: map[link]*workload.Relay{}}
@@ -42,8 +42,8 @@
 	return l
 }
 
-// through gives the settings of a process with the ways through the relays; without relays as they are.
-func (l *links) through(w *world, settings system.Settings) system.Settings {
+// withRoutes returns the settings with routes through the relays, or unchanged if there are no relays.
+func (l *links) withRoutes(w *world, settings system.Settings) system.Settings {
 	if l == nil {
 		return settings
 	}
@@ -57,22 +57,22 @@
 	return settings
 }
 
-// direction of a cut, as seen from the first of two processes.
+// direction is which way a cut holds bytes back, as seen from the first of two processes.
 type direction int
 
 const (
 	bothWays direction = iota
-	onlyThere
-	onlyBack
+	onlyForward
+	onlyBackward
 )
 
-// cut sets whether one process is cut from another. Either may connect to the other.
+// cut cuts or restores the link between two processes, whichever of them connects.
 func (l *links) cut(one, other string, how direction, isCut bool) {
-	there, back := !isCut || how == onlyBack, !isCut || how == onlyThere
+	forward, backward := !isCut || how == onlyBackward, !isCut || how == onlyForward
 	if relay := l.relays[link{one, other}]; relay != nil {
-		relay.SetPassing(there, back)
+		relay.SetPassing(forward, backward)
 	}
 	if relay := l.relays[link{other, one}]; relay != nil {
-		relay.SetPassing(back, there)
+		relay.SetPassing(backward, forward)
 	}
 }
--- a/systemtest/orders_test.go
+++ b/systemtest/orders_test.go
@@ -13,15 +13,15 @@
 	"eiderway/testinstance"
 )
 
-// numberInput is an order, or a read that found a number in force.
+// numberInput is the input of an operation on a configuration number: an order, or a read that found the number in force.
 type numberInput struct {
 	number  int64
 	content string
 	isRead  bool
 }
 
-// numberModel is one configuration number: the first content takes it for ever. A status of 0 stands for an order of
-// which nothing is known; it may have taken the number at any time since, or never.
+// numberModel is the sequential model of one configuration number: the first content accepted takes it forever. A status of 0
+// is an order without a clear answer; it may have taken the number at any time since it was sent, or never.
 func numberModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: byNumber,
@@ -59,7 +59,7 @@
 	return parts
 }
 
-// areLinearizable tells whether each number behaves as if it were decided on at one place, one call at a time.
+// areLinearizable reports whether each number behaves as if a single process decided on it, one call at a time.
 func areLinearizable(orders *workload.Orders) bool {
 	var history []porcupine.Operation
 	for _, order := range orders.Completed() {
@@ -87,7 +87,7 @@
 	return porcupine.CheckOperations(numberModel(), history)
 }
 
-// judgeFences: the fence rises whenever the holder changes.
+// judgeFences checks that no two holders use the same fence.
 func judgeFences(calls []testinstance.FailoverCall) []string {
 	var broken []string
 	holders := map[uint64]string{}
@@ -100,7 +100,7 @@
 	return broken
 }
 
-// What judges must see what may not be.
+// The checks of orders and fences must report histories that break the rules.
 func TestOrderChecksSeeFaults(t *testing.T) {
 	is := is.New(t)
 	order := func(call int64, content string, status int) porcupine.Operation {
--- a/systemtest/processes_test.go
+++ b/systemtest/processes_test.go
@@ -32,13 +32,13 @@
 	return m.Run()
 }
 
-// process is a controller or a gateway with its settings, its disk and its log. It may be started many times.
+// process is a controller or a gateway with its settings and its log. It may be started many times.
 type process struct {
 	t       *testing.T
 	name    string
 	path    string // of the settings
 	logPath string
-	flags   []string // of run
+	flags   []string // of the command run
 	running *exec.Cmd
 	ended   chan struct{}
 }
@@ -59,7 +59,7 @@
 	return p
 }
 
-// showLog gives the end of the log to whoever looks into a failure.
+// showLog prints the end of the log, for the analysis of a failure.
 func (p *process) showLog() {
 	const most = 6000 // bytes
 	contents, _ := os.ReadFile(p.logPath)
@@ -102,7 +102,7 @@
 	}
 }
 
-// kill ends the process without a word, if it runs, and waits for its end.
+// kill sends SIGKILL to the process, if it runs, and waits for its end.
 func (p *process) kill() {
 	if p.running == nil {
 		return
@@ -111,7 +111,7 @@
 	<-p.ended
 }
 
-// terminate asks the process to end, and wants it to do so in order.
+// terminate sends SIGTERM and expects the process to exit with code 0 in time.
 func (p *process) terminate() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -125,7 +125,7 @@
 	}
 }
 
-// hasEnded tells whether the process has ended.
+// hasEnded reports whether the process has ended.
 func (p *process) hasEnded() bool {
 	select {
 	case <-p.ended:
--- a/systemtest/soak_tenants_test.go
+++ b/systemtest/soak_tenants_test.go
@@ -5,11 +5,12 @@
 )
 
 const (
-	doomedFirst  = hotFirst + 20 // the number of the first client whose key comes and goes
+	firstDoomed  = firstHot + 20 // number of the first client whose key is taken away and given back
 	crowdClients = 3             // of each kind
 )
 
-// startCrowd starts clients of a hot tenant, clients whose key comes and goes, and strangers. The function returned ends them.
+// startCrowd starts clients of a tenant that exceeds its limit, clients whose key is taken away and given back, and a client
+// with a key of no tenant. The returned function stops them.
 func (s *soak) startCrowd() (stop func()) {
 	settings := s.clientSettings()
 	start := func(first, count int, key string) *workload.Clients {
@@ -17,9 +18,9 @@
 		return workload.StartClients(first, count, settings)
 	}
 	started := []*workload.Clients{
-		start(hotFirst, crowdClients, hotKey),
-		start(doomedFirst, crowdClients, doomedKey),
-		start(doomedFirst+crowdClients, 1, unheldKey),
+		start(firstHot, crowdClients, hotKey),
+		start(firstDoomed, crowdClients, doomedKey),
+		start(firstDoomed+crowdClients, 1, unheldKey),
 	}
 	return func() {
 		for _, one := range started {
@@ -28,8 +29,8 @@
 	}
 }
 
-// changeTenants changes what the operators' next configurations say of tenants: the doomed key is the farmers', the traders' or nobody's, and the
-// crowd's limit is the usual one, a higher one or a lower one.
+// changeTenants changes the tenants of the operators' next configurations: the doomed key belongs to the farmers, to the
+// traders or to nobody, and the crowd's limit is the usual one, a higher one or a lower one.
 func (s *soak) changeTenants() {
 	holder := s.random.IntN(3)
 	rate := []float64{crowdRate, 2 * crowdRate, crowdRate / 2}[s.random.IntN(3)]
@@ -38,6 +39,6 @@
 		list[holder].Keys = append(list[holder].Keys, doomedKey)
 	}
 	list[2].RatePerS = rate
-	s.tell("the doomed key: %s; the crowd's limit: %v", []string{farmers, traders, "nobody's"}[holder], rate)
+	s.record("the doomed key: %s; the crowd's limit: %v", []string{farmers, traders, "nobody's"}[holder], rate)
 	s.tenants.set(list)
 }
--- a/systemtest/soak_test.go
+++ b/systemtest/soak_test.go
@@ -16,35 +16,36 @@
 )
 
 var (
-	soakSeeds = flag.Int("soak.seeds", 2, "how many seeds TestSoak plays, one after the other")
+	soakSeeds = flag.Int("soak.seeds", 2, "how many seeds TestSoak runs, one after the other")
 	soakFirst = flag.Uint64("soak.first", 1, "the first seed of TestSoak")
-	soakFor   = flag.Duration("soak.for", 15*time.Second, "for how long TestSoak makes trouble with each seed")
+	soakFor   = flag.Duration("soak.for", 15*time.Second, "for how long TestSoak injects faults with each seed")
 )
 
 const (
-	soakStep      = 20 * time.Millisecond
-	mostTroubles  = 3                // at a time
-	calmAfter     = 20 * time.Second // within which all must be well again; a busy machine may need long
-	contactTime   = 4 * time.Second  // for which a process must have run to count as in touch
-	shareOfEnds   = 4                // one trouble in so many is the end of an instance
-	troubleLeast  = 200 * time.Millisecond
-	troubleMost   = 4 * time.Second
-	betweenMost   = time.Second
-	successorWait = 2 * time.Second
+	soakStep          = 20 * time.Millisecond
+	maxFaults         = 3                // at a time
+	calmAfter         = 20 * time.Second // within which the system must have recovered; a busy machine may need long
+	contactTime       = 4 * time.Second  // for which a process must have run to count as in contact
+	shareOfDepartures = 4                // one fault in so many is the departure of an instance
+	minFaultTime      = 200 * time.Millisecond
+	maxFaultTime      = 4 * time.Second
+	maxFaultInterval  = time.Second
+	successorWait     = 2 * time.Second
 )
 
-// TestSoak plays random kills, pauses, cuts, lost answers and planned ends of instances on a system of real processes, several at a
-// time, with the invariants on. Meanwhile keys are taken away and come back, a hot tenant and strangers ask, and limits change. What comes of a seed differs from run to run: the seed only chooses the troubles.
+// TestSoak injects random kills, pauses, cuts, lost answers and planned departures of instances into a system of real
+// processes, several at a time, with the invariants on. Meanwhile keys are taken away and given back, a tenant exceeds its
+// limit, clients use a key of no tenant, and limits change. Runs of one seed differ: the seed only chooses the faults.
 //
 //	go test ./systemtest -run TestSoak -soak.seeds 50 -soak.for 40s -timeout 2h
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	for seed := *soakFirst; seed < *soakFirst+uint64(*soakSeeds); seed++ {
-		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { playSoak(t, seed) })
+		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
-func playSoak(t *testing.T, seed uint64) {
+func runSoak(t *testing.T, seed uint64) {
 	s := &soak{
 		world:   startTenants(t, func(settings *testinstance.Settings) { settings.BeatsAfterLeave = seed%2 == 0 }, startLinks, nil),
 		random:  rand.New(rand.NewPCG(seed, 1)),
@@ -54,44 +55,44 @@
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("what happened:\n%s", strings.Join(s.story, "\n"))
+			t.Logf("injected faults:\n%s", strings.Join(s.story, "\n"))
 		}
 	})
 	crowd := s.startCrowd()
-	s.trouble(*soakFor)
+	s.injectFaults(*soakFor)
 	crowd()
-	s.close()
-	s.heal()
-	s.awaitWrites("after all troubles")
-	s.awaitOrders("after all troubles")
-	s.excused = s.stoodStill
+	s.killAtEnd()
+	s.endFaults()
+	s.awaitWrites("after all faults")
+	s.awaitOrders("after all faults")
+	s.mayRunLate = s.wasCallerStopped
 	s.conclude()
 }
 
-// span is a time; its end is zero while it lasts.
+// span is a period; its end is zero while it lasts.
 type span struct{ from, to time.Time }
 
-// soak makes trouble in a world. All its fields belong to the test's goroutine.
+// soak injects faults into a world. All its fields belong to the test's goroutine.
 type soak struct {
 	*world
 	random  *rand.Rand
 	began   time.Time
 	story   []string
 	active  []active
-	busy    map[string]bool   // what is in trouble, by name
-	stopped map[string][]span // when a gateway stood still
-	named   int               // instances that were added
+	busy    map[string]bool   // targets of active faults, by name
+	stopped map[string][]span // when gateways were stopped, by name
+	added   int               // count of instances that were added
 }
 
-// active is a trouble that lasts.
+// active is a fault that has not ended.
 type active struct {
-	what string // that is busy
+	what string // the target, a key of busy
 	ends time.Time
 	end  func()
 }
 
-// tell notes what is done.
-func (s *soak) tell(format string, values ...any) {
+// record adds to the story an event with its time.
+func (s *soak) record(format string, values ...any) {
 	s.story = append(s.story, fmt.Sprintf("%7.3fs %s", time.Since(s.began).Seconds(), fmt.Sprintf(format, values...)))
 }
 
@@ -99,17 +100,17 @@
 	return least + time.Duration(s.random.Int64N(int64(most-least)))
 }
 
-// trouble begins troubles and ends them, for so long.
-func (s *soak) trouble(lasting time.Duration) {
+// injectFaults starts and ends faults for the given time.
+func (s *soak) injectFaults(lasting time.Duration) {
 	next := time.Now()
 	for until := time.Now().Add(lasting); time.Now().Before(until); time.Sleep(soakStep) {
 		s.endDue(time.Now())
-		s.succeed()
-		if time.Now().Before(next) || len(s.active) >= mostTroubles {
+		s.startSuccessors()
+		if time.Now().Before(next) || len(s.active) >= maxFaults {
 			continue
 		}
-		next = time.Now().Add(s.between(soakStep, betweenMost))
-		s.begin()
+		next = time.Now().Add(s.between(soakStep, maxFaultInterval))
+		s.startRandomFault()
 	}
 }
 
@@ -122,33 +123,33 @@
 		}
 		one.end()
 		delete(s.busy, one.what)
-		s.tell("%s: over", one.what)
+		s.record("%s: over", one.what)
 	}
 	s.active = lasting
 }
 
-// begin begins one trouble, drawn at random.
-func (s *soak) begin() {
-	if s.random.IntN(shareOfEnds) == 0 {
+// startRandomFault starts one random fault.
+func (s *soak) startRandomFault() {
+	if s.random.IntN(shareOfDepartures) == 0 {
 		s.endInstance()
 		return
 	}
 	kinds := []func(){
 		s.killController, s.stopController, s.killGateway, s.stopGateway, s.cutGateway, s.cutController, s.cutReplication,
-		s.freezeInstance, s.crashInstance, s.loseOnTheWay, s.platformTrouble, s.cutControl,
+		s.freezeInstance, s.crashInstance, s.loseAnswers, s.disturbPlatform, s.cutControl,
 		s.cutControllers, s.cutControllers, s.isolateController, s.cutGatewayFromCore, s.cutGatewayFromCore,
 		s.changeTenants, s.changeTenants,
 	}
 	kinds[s.random.IntN(len(kinds))]()
 }
 
-// last makes a trouble last, unless what it strikes is in trouble already.
-func (s *soak) last(what, how string, begin, end func()) {
+// startFault starts a fault of random length, unless its target has an active fault.
+func (s *soak) startFault(what, how string, begin, end func()) {
 	if s.busy[what] {
 		return
 	}
-	lasting := s.between(troubleLeast, troubleMost)
-	s.tell("%s: %s for %v", what, how, lasting.Round(time.Millisecond))
+	lasting := s.between(minFaultTime, maxFaultTime)
+	s.record("%s: %s for %v", what, how, lasting.Round(time.Millisecond))
 	s.busy[what] = true
 	begin()
 	s.active = append(s.active, active{what: what, ends: time.Now().Add(lasting), end: end})
@@ -157,18 +158,18 @@
 func (s *soak) killController() {
 	number := s.random.IntN(workload.ControllerCount)
 	one := s.controllers[number]
-	s.last(one.name, "killed", one.kill, func() { s.startController(number, false) })
+	s.startFault(one.name, "killed", one.kill, func() { s.startController(number, false) })
 }
 
 func (s *soak) stopController() {
 	one := s.controllers[s.random.IntN(workload.ControllerCount)]
-	s.last(one.name, "stopped", func() { one.signal(syscall.SIGSTOP) }, func() { one.signal(syscall.SIGCONT) })
+	s.startFault(one.name, "stopped", func() { one.signal(syscall.SIGSTOP) }, func() { one.signal(syscall.SIGCONT) })
 }
 
 func (s *soak) killGateway() {
 	number := s.random.IntN(gatewayCount)
 	one := s.gateways[number]
-	s.last(one.name, "killed", one.kill, func() { s.startGateway(number) })
+	s.startFault(one.name, "killed", one.kill, func() { s.startGateway(number) })
 }
 
 func (s *soak) stopGateway() {
@@ -183,12 +184,12 @@
 		spans := s.stopped[caller]
 		spans[len(spans)-1].to = time.Now()
 	}
-	s.last(one.name, "stopped", stop, goOn)
+	s.startFault(one.name, "stopped", stop, goOn)
 }
 
-// anyDirection is both ways as often as one way.
+// anyDirection returns both ways as often as one way.
 func (s *soak) anyDirection() direction {
-	return []direction{bothWays, bothWays, onlyThere, onlyBack}[s.random.IntN(4)]
+	return []direction{bothWays, bothWays, onlyForward, onlyBackward}[s.random.IntN(4)]
 }
 
 // cutControllers cuts two controllers from each other.
@@ -201,10 +202,10 @@
 func (s *soak) cutLink(one, other string) {
 	how := s.anyDirection()
 	cut := func(isCut bool) func() { return func() { s.links.cut(one, other, how, isCut) } }
-	s.last(one+" "+other, fmt.Sprintf("cut (%d)", how), cut(true), cut(false))
+	s.startFault(one+" "+other, fmt.Sprintf("cut (%d)", how), cut(true), cut(false))
 }
 
-// isolateController cuts one controller from the other ones.
+// isolateController cuts one controller from all others.
 func (s *soak) isolateController() {
 	number, how := s.random.IntN(workload.ControllerCount), s.anyDirection()
 	cut := func(isCut bool) func() {
@@ -214,7 +215,7 @@
 			}
 		}
 	}
-	s.last(controllerName(number)+" alone", fmt.Sprintf("cut (%d)", how), cut(true), cut(false))
+	s.startFault(controllerName(number)+" alone", fmt.Sprintf("cut (%d)", how), cut(true), cut(false))
 }
 
 // cutGatewayFromCore cuts a gateway from one controller, or from all.
@@ -232,17 +233,17 @@
 			}
 		}
 	}
-	s.last(gateway+" core", fmt.Sprintf("cut (%d)", how), cut(true), cut(false))
+	s.startFault(gateway+" core", fmt.Sprintf("cut (%d)", how), cut(true), cut(false))
 }
 
 const (
-	downLeast = 200 * time.Millisecond // of processes that were killed at the end
-	downMost  = 2 * time.Second
+	minDownTime = 200 * time.Millisecond // between the kill of all processes and their restart
+	maxDownTime = 2 * time.Second
 )
 
-// close ends the troubles as the operators' days may: with nothing more; with all processes killed at once; or with the disk of one controller lost
-// and all others killed in the same moment, gateways too.
-func (s *soak) close() {
+// killAtEnd ends the faults in one of three ways: with nothing more; with all processes killed at once; or with all processes,
+// gateways included, killed at once and the disk of one controller lost.
+func (s *soak) killAtEnd() {
 	kind := s.random.IntN(3)
 	if kind == 0 {
 		return
@@ -252,7 +253,7 @@
 	if kind == 2 {
 		lost = s.random.IntN(workload.ControllerCount)
 	}
-	s.tell("all are killed; lost disk: %d", lost)
+	s.record("all are killed; lost disk: %d", lost)
 	for _, one := range append(slices.Clone(s.controllers), s.gateways...) {
 		one.signal(syscall.SIGKILL)
 	}
@@ -264,7 +265,7 @@
 			s.Fatal(err)
 		}
 	}
-	time.Sleep(s.between(downLeast, downMost))
+	time.Sleep(s.between(minDownTime, maxDownTime))
 	for number := range s.controllers {
 		s.startController(number, false)
 	}
@@ -275,7 +276,7 @@
 
 func controllerName(number int) string { return fmt.Sprintf("controller-%d", number) }
 
-// gatewayName is how a gateway names itself to instances.
+// gatewayName returns the name that a gateway gives to instances.
 func gatewayName(number int) string { return fmt.Sprintf("gateway-%d", number) }
 
 func (s *soak) cutGateway() {
@@ -288,13 +289,13 @@
 
 func (s *soak) cutCaller(who string) {
 	cut := func(isCut bool) func() { return func() { s.service.CutCaller(who, isCut) } }
-	s.last("instances from "+who, "cut", cut(true), cut(false))
+	s.startFault("instances from "+who, "cut", cut(true), cut(false))
 }
 
 func (s *soak) cutControl() {
 	address := s.layout.Control(s.random.IntN(workload.ControllerCount))
 	cut := func(isCut bool) func() { return func() { s.service.CutController(address, isCut) } }
-	s.last("calls of instances to "+address, "cut", cut(true), cut(false))
+	s.startFault("calls of instances to "+address, "cut", cut(true), cut(false))
 }
 
 func (s *soak) cutReplication() {
@@ -304,12 +305,12 @@
 	}
 	one, other := present[0], present[1+s.random.IntN(len(present)-1)]
 	cut := func(isCut bool) func() { return func() { s.service.Cut(one, other, isCut) } }
-	s.last("replication "+one.ID()+" "+other.ID(), "cut", cut(true), cut(false))
+	s.startFault("replication "+one.ID()+" "+other.ID(), "cut", cut(true), cut(false))
 }
 
 func (s *soak) freezeInstance() {
 	one := s.anyInstance()
-	s.last(one.ID(), "frozen", func() { one.Freeze(true) }, func() { one.Freeze(false) })
+	s.startFault(one.ID(), "frozen", func() { one.Freeze(true) }, func() { one.Freeze(false) })
 }
 
 func (s *soak) crashInstance() {
@@ -317,34 +318,34 @@
 	if one.HasLeft() {
 		return
 	}
-	s.last(one.ID(), "crashed", one.Crash, func() { _ = one.Restart() }) // one that has left meanwhile stays away
+	s.startFault(one.ID(), "crashed", one.Crash, func() { _ = one.Restart() }) // an instance that has left meanwhile cannot be restarted
 }
 
-func (s *soak) loseOnTheWay() {
-	troubles := testinstance.Faults{LoseAnswers: 0.1, LoseAcks: 0.3, LateShare: 0.4, MaxLateDelay: troubleMost}
-	s.last("answers", "lost or late", func() { s.service.SetFaults(troubles) },
+func (s *soak) loseAnswers() {
+	faults := testinstance.Faults{LoseAnswers: 0.1, LoseAcks: 0.3, LateShare: 0.4, MaxLateDelay: maxFaultTime}
+	s.startFault("answers", "lost or late", func() { s.service.SetFaults(faults) },
 		func() { s.service.SetFaults(testinstance.Faults{}) })
 }
 
-func (s *soak) platformTrouble() {
+func (s *soak) disturbPlatform() {
 	slow := s.between(0, time.Second)
 	trouble := func(settings *testinstance.PlatformSettings) { settings.Slow, settings.LoseAnswers = slow, 1 }
 	calm := func(settings *testinstance.PlatformSettings) { settings.Slow, settings.LoseAnswers = 0, 0 }
-	s.last("platform", "slow, and loses an answer", func() { s.platform.Set(trouble) }, func() { s.platform.Set(calm) })
+	s.startFault("platform", "slow, and loses an answer", func() { s.platform.Set(trouble) }, func() { s.platform.Set(calm) })
 }
 
-// endInstance has an instance drain, or leave without.
+// endInstance has an instance drain, or leave without draining.
 func (s *soak) endInstance() {
 	one := s.anyInstance()
 	if one.HasLeft() || s.busy[one.ID()] {
 		return
 	}
 	if s.random.IntN(2) == 0 {
-		s.tell("%s drains", one.ID())
+		s.record("%s drains", one.ID())
 		one.Drain()
 		return
 	}
-	s.tell("%s leaves", one.ID())
+	s.record("%s leaves", one.ID())
 	one.Leave()
 }
 
@@ -358,7 +359,7 @@
 	return present
 }
 
-// anyInstance is the leader as often as any other.
+// anyInstance returns the primary in half of all calls at least, else any instance.
 func (s *soak) anyInstance() *testinstance.Instance {
 	if s.random.IntN(2) == 0 {
 		return s.service.Leader()
@@ -366,35 +367,35 @@
 	return s.instances[s.random.IntN(len(s.instances))]
 }
 
-// succeed starts a replica in the place of each instance that has left, with its log.
-func (s *soak) succeed() {
+// startSuccessors starts a successor, with the same log, for each instance that has left.
+func (s *soak) startSuccessors() {
 	for index, gone := range s.instances {
 		if !gone.HasLeft() {
 			continue
 		}
-		id := fmt.Sprintf("db-%d", s.named)
+		id := fmt.Sprintf("db-%d", s.added)
 		added, err := s.service.StartSuccessor(gone, id)
 		if err != nil {
 			continue // its address isn't free yet
 		}
-		s.named++
-		s.tell("%s takes the place of %s", id, gone.ID())
+		s.added++
+		s.record("%s replaces %s", id, gone.ID())
 		s.instances[index] = added
 	}
 }
 
-// heal ends all troubles, and waits until no instance is on its way out.
-func (s *soak) heal() {
-	s.tell("the troubles end")
+// endFaults ends all faults, and waits long enough for every departing instance to leave and to get a successor.
+func (s *soak) endFaults() {
+	s.record("all faults end")
 	s.endDue(time.Now().Add(time.Hour))
 	for until := time.Now().Add(drainTime + successorWait); time.Now().Before(until); time.Sleep(soakStep) {
-		s.succeed()
+		s.startSuccessors()
 	}
 }
 
-// stoodStill tells whether the gateway that had an instance run something stood still shortly before: it is not in touch then, and
-// may send late what it checked in time.
-func (s *soak) stoodStill(ran testinstance.Execution) bool {
+// wasCallerStopped reports whether the gateway that sent a statement was stopped shortly before. Such a gateway is not in
+// contact, and may send late a statement that it checked in time.
+func (s *soak) wasCallerStopped(ran testinstance.Execution) bool {
 	for _, one := range s.stopped[ran.Caller] {
 		if ran.At.After(one.from) && ran.At.Before(one.to.Add(contactTime)) {
 			return true
--- a/systemtest/system_test.go
+++ b/systemtest/system_test.go
@@ -9,17 +9,17 @@
 	"eiderway/testinstance"
 )
 
-// frozenFor is longer than a takeover of the control state and than a gateway's lease.
+// frozenFor is longer than the takeover by another controller and longer than a gateway's lease.
 const frozenFor = 4 * time.Second
 
-// TestLeadersAreLost takes away the leading controller in several ways, a gateway, and the primary of the service, at last
-// together with the leading controller.
-func TestLeadersAreLost(t *testing.T) {
+// TestLoadSurvivesLossOfLeaders kills and freezes the leading controller, kills a gateway, and finally crashes the primary of the
+// service together with the leading controller. Orders and writes must be acknowledged again each time.
+func TestLoadSurvivesLossOfLeaders(t *testing.T) {
 	w := startWorld(t)
 
 	killed := w.leader()
 	w.controllers[killed].kill()
-	w.await("another controller leads", func() bool { leads := w.leads(); return leads >= 0 && leads != killed })
+	w.await("another controller leads", func() bool { leads := w.leadingNow(); return leads >= 0 && leads != killed })
 	w.awaitOrders("after the leading controller was killed")
 	w.startController(killed, false)
 
@@ -31,21 +31,21 @@
 	frozen := w.leader()
 	thaw := time.After(frozenFor)
 	w.controllers[frozen].signal(syscall.SIGSTOP)
-	w.await("another controller leads", func() bool { leads := w.leads(); return leads >= 0 && leads != frozen })
+	w.await("another controller leads", func() bool { leads := w.leadingNow(); return leads >= 0 && leads != frozen })
 	w.awaitOrders("while the old leader is frozen")
 	<-thaw
 	w.controllers[frozen].signal(syscall.SIGCONT)
-	w.awaitOrders("after the old leader woke")
-	w.awaitWrites("after the old leader woke")
+	w.awaitOrders("after the old leader resumed")
+	w.awaitWrites("after the old leader resumed")
 
 	w.awaitMembers()
 	crashed := w.service.Leader()
-	w.service.Cut(crashed, w.lagging(crashed), true) // it must not be chosen
+	w.service.Cut(crashed, w.lagging(crashed), true) // the lagging replica must not be promoted
 	w.awaitWrites("with one replica that lags")
 	killed = w.leader()
 	w.controllers[killed].kill()
 	crashed.Crash()
-	w.awaitPromote(crashed)
+	w.awaitNewPrimary(crashed)
 	w.awaitWrites("after the primary crashed during a takeover")
 	w.startController(killed, false)
 	if err := crashed.Restart(); err != nil {
@@ -55,7 +55,7 @@
 	w.conclude()
 }
 
-// lagging is the first of the replicas.
+// lagging returns the first of the replicas, which the test makes lag.
 func (w *world) lagging(primary *testinstance.Instance) *testinstance.Instance {
 	for _, one := range w.instances {
 		if one != primary {
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// TestAllControllersAreKilled kills all controllers right after an acknowledgement, and later the leading one, whose disk is
+// TestOrdersSurviveKillOfAllControllers kills all controllers right after an acknowledgement, and later the leading one, whose disk is
 // lost, right after another.
-func TestAllControllersAreKilled(t *testing.T) {
+func TestOrdersSurviveKillOfAllControllers(t *testing.T) {
 	w := startWorld(t)
 
 	w.placeNext(1)
@@ -92,15 +92,16 @@
 	w.awaitMembers()
 
 	killed := w.leader()
-	w.controllers[killed].kill() // what the wiped one has taken over must be enough
+	w.controllers[killed].kill() // the state that the wiped one has copied since must be enough
 	w.awaitOrders("without the leader and with one whose disk was lost")
 	w.startController(killed, false)
 	w.awaitWrites("in the end")
 	w.conclude()
 }
 
-// TestRollOfControllers ends all controllers in order, one after the other, under a stream of orders.
-func TestRollOfControllers(t *testing.T) {
+// TestOrdersAreAnsweredDuringRollingRestart restarts all controllers gracefully, one after the other, under a stream
+// of orders. Every order must get a clear answer.
+func TestOrdersAreAnsweredDuringRollingRestart(t *testing.T) {
 	w := startWorld(t)
 	for number := range w.controllers {
 		w.awaitMembers()
@@ -109,7 +110,7 @@
 		w.startController(number, false)
 		w.awaitOrders("after a controller was replaced")
 	}
-	w.awaitWrites("after the roll")
+	w.awaitWrites("after the rolling restart")
 	w.conclude()
 	for _, order := range w.orders.Completed() {
 		if order.Status == 0 {
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestHandOverWithFrozenGateway drains the primary while a gateway doesn't run: what it may still do has to be waited out.
+// TestHandOverWithFrozenGateway drains the primary while a gateway is stopped. The handover has to wait until that gateway can
+// no longer send statements to the old primary.
 func TestHandOverWithFrozenGateway(t *testing.T) {
 	t.Parallel() // mostly waits
 	w := startWorld(t)
@@ -126,7 +128,7 @@
 	w.gateways[1].signal(syscall.SIGSTOP)
 	drained := w.service.Leader()
 	drained.Drain()
-	w.awaitPromote(drained)
+	w.awaitNewPrimary(drained)
 	<-thaw
 	w.gateways[1].signal(syscall.SIGCONT)
 	w.awaitWrites("after the hand-over")
@@ -134,7 +136,7 @@
 	w.conclude()
 }
 
-// TestFrozenPrimaryAndGateway freezes the primary together with a gateway. Once another instance leads, both wake at the
+// TestFrozenPrimaryAndGateway freezes the primary together with a gateway. Once another instance leads, both resume at the
 // same moment: the old primary goes on for a second, and the gateway's table still names it.
 func TestFrozenPrimaryAndGateway(t *testing.T) {
 	t.Parallel() // mostly waits
@@ -142,7 +144,7 @@
 	old := w.service.Leader()
 	old.Freeze(true)
 	w.gateways[1].signal(syscall.SIGSTOP)
-	w.awaitPromote(old)
+	w.awaitNewPrimary(old)
 	w.awaitWrites("at the new primary")
 	woken := w.history.Statements()
 	old.Freeze(false)
--- a/systemtest/tenants_test.go
+++ b/systemtest/tenants_test.go
@@ -12,14 +12,14 @@
 	"eiderway/wire"
 )
 
-// byHand opens a session that the test drives, at one gateway.
-func (w *world) byHand(number, gateway int, key string) *workload.Session {
+// openSession opens a session that the test drives, at one gateway.
+func (w *world) openSession(number, gateway int, key string) *workload.Session {
 	w.Helper()
 	settings := w.clientSettings()
 	settings.Key = keyed(key)
 	var opened *workload.Session
 	w.await("a session is opened", func() bool {
-		opened = workload.OpenSession(lastNumbers+number, w.layout.Front(gateway), settings)
+		opened = workload.OpenSession(firstDriven+number, w.layout.Front(gateway), settings)
 		return opened != nil
 	})
 	w.Cleanup(opened.Close)
@@ -33,7 +33,7 @@
 	settings.Key = keyed(key)
 	before := w.history.AuthFailures(key)
 	w.await("the key is refused", func() bool {
-		if opened := workload.OpenSession(lastNumbers+number, w.layout.Front(gateway), settings); opened != nil {
+		if opened := workload.OpenSession(firstDriven+number, w.layout.Front(gateway), settings); opened != nil {
 			opened.Close()
 		}
 		return w.history.AuthFailures(key) > before
@@ -47,15 +47,16 @@
 	is.Equal(session.Put(thing, "before").Outcome, workload.Done)
 }
 
-// waitUntil waits for a moment that a rule names.
+// waitUntil sleeps until a moment.
 func waitUntil(moment time.Time) { time.Sleep(time.Until(moment)) }
 
-// CONFIG: a gateway that was frozen inside a client's transaction went on with it though its key had been taken away.
-func TestTenantsKeyIsTakenAwayWhileAGatewayIsFrozen(t *testing.T) {
+// Guards against a gateway that is frozen inside a client's transaction and goes on with it after the client's key was taken
+// away (rule CONFIG).
+func TestTenantsRevokedKeyIsUselessAtFrozenGateway(t *testing.T) {
 	t.Parallel() // mostly waits
 	is := is.New(t)
-	w := startQuick(t, noLinks)
-	inside, committing, idle := w.byHand(1, 0, doomedKey), w.byHand(2, 0, doomedKey), w.byHand(3, 0, doomedKey)
+	w := startWithShortBounds(t, noLinks)
+	inside, committing, idle := w.openSession(1, 0, doomedKey), w.openSession(2, 0, doomedKey), w.openSession(3, 0, doomedKey)
 	mustBegin(is, inside, "x1")
 	mustBegin(is, committing, "x2")
 	is.Equal(idle.Put("x3", "before").Outcome, workload.Done)
@@ -67,25 +68,26 @@
 	go func() { answers <- inside.Put("x1", "after") }()
 	go func() { answers <- committing.Commit() }()
 	go func() { answers <- idle.Put("x3", "after") }()
-	time.Sleep(poll) // they are on their way before the gateway wakes
+	time.Sleep(poll) // the statements are sent before the gateway resumes
 	w.gateways[0].signal(syscall.SIGCONT)
 	for range cap(answers) {
 		is.True((<-answers).Outcome != workload.Done)
 	}
-	is.Equal(w.ranOf(lastNumbers+1), []string{"PUT x1 before"})
-	is.Equal(w.ranOf(lastNumbers+2), []string{"PUT x2 before"})
-	is.Equal(w.ranOf(lastNumbers+3), []string{"PUT x3 before"})
+	is.Equal(w.executedTexts(firstDriven+1), []string{"PUT x1 before"})
+	is.Equal(w.executedTexts(firstDriven+2), []string{"PUT x2 before"})
+	is.Equal(w.executedTexts(firstDriven+3), []string{"PUT x3 before"})
 	w.awaitRefused(4, 0, doomedKey)
 	w.awaitWrites("with the keys that are left")
 	w.conclude()
 }
 
-// CONFIG: a gateway that was cut off went on inside transactions, and by its old table, though a key had been taken away.
-func TestTenantsKeyIsTakenAwayWhileAGatewayIsCutOff(t *testing.T) {
+// Guards against a gateway that is cut off from the controllers and goes on with transactions, and with its old table, after
+// a key was taken away (rule CONFIG).
+func TestTenantsRevokedKeyIsUselessAtIsolatedGateway(t *testing.T) {
 	t.Parallel() // mostly waits
 	is := is.New(t)
-	w := startQuick(t, startLinks)
-	inside, committing, idle := w.byHand(1, 0, doomedKey), w.byHand(2, 0, doomedKey), w.byHand(3, 0, doomedKey)
+	w := startWithShortBounds(t, startLinks)
+	inside, committing, idle := w.openSession(1, 0, doomedKey), w.openSession(2, 0, doomedKey), w.openSession(3, 0, doomedKey)
 	mustBegin(is, inside, "x1")
 	mustBegin(is, committing, "x2")
 	is.Equal(idle.Put("x3", "before").Outcome, workload.Done)
@@ -96,29 +98,30 @@
 	is.True(inside.Put("x1", "after").Outcome != workload.Done)
 	is.True(committing.Commit().Outcome != workload.Done)
 	is.True(idle.Put("x3", "after").Outcome != workload.Done)
-	is.Equal(w.ranOf(lastNumbers+1), []string{"PUT x1 before"})
-	is.Equal(w.ranOf(lastNumbers+2), []string{"PUT x2 before"})
-	is.Equal(w.ranOf(lastNumbers+3), []string{"PUT x3 before"})
-	w.awaitRefused(4, 1, doomedKey) // by the gateway that is in touch
+	is.Equal(w.executedTexts(firstDriven+1), []string{"PUT x1 before"})
+	is.Equal(w.executedTexts(firstDriven+2), []string{"PUT x2 before"})
+	is.Equal(w.executedTexts(firstDriven+3), []string{"PUT x3 before"})
+	w.awaitRefused(4, 1, doomedKey) // by the gateway that is in contact
 	w.cutOff(0, false)
 	w.awaitRefused(5, 0, doomedKey)
 	w.awaitWrites("with the keys that are left")
 	w.conclude()
 }
 
-// cutOff cuts a gateway from all controllers, or joins it again.
+// cutOff cuts a gateway from all controllers, or restores the links.
 func (w *world) cutOff(gateway int, isCut bool) {
 	for number := range workload.ControllerCount {
 		w.links.cut(gatewayName(gateway), controllerName(number), bothWays, isCut)
 	}
 }
 
-// CONFIG: keys that were taken away, moved and added were forgotten with the primary that had acknowledged it.
-func TestTenantsKeysChangeAsThePrimaryDies(t *testing.T) {
+// Guards against a takeover that loses an acknowledged change of keys when the primary that acknowledged it is killed
+// (rule CONFIG).
+func TestTenantsKeyChangesSurviveLossOfPrimary(t *testing.T) {
 	t.Parallel() // mostly waits
 	is := is.New(t)
-	w := startQuick(t, noLinks)
-	inside := w.byHand(1, 1, doomedKey)
+	w := startWithShortBounds(t, noLinks)
+	inside := w.openSession(1, 1, doomedKey)
 	mustBegin(is, inside, "x1")
 	w.awaitMembers()
 	killed := w.leader()
@@ -141,7 +144,7 @@
 	settings := w.clientSettings()
 	settings.Key = keyed(key)
 	w.await("the key is served", func() bool {
-		opened := workload.OpenSession(lastNumbers+number, w.layout.Front(gateway), settings)
+		opened := workload.OpenSession(firstDriven+number, w.layout.Front(gateway), settings)
 		if opened == nil {
 			return false
 		}
@@ -152,26 +155,27 @@
 
 const (
 	hotClients = 8
-	hotFirst   = 100             // the number of the first of them
+	firstHot   = 100             // the number of the first of them
 	hotFor     = 3 * time.Second // before and after the takeover
 )
 
-// QUOTA: a hot tenant got more than its limit, over two gateways and across a takeover; ROUTE: strangers were served meanwhile.
-func TestTenantsHotOneAcrossATakeover(t *testing.T) {
+// Guards against a tenant that gets more than its limit over two gateways and across a takeover (rule QUOTA), and against
+// clients with a key of no tenant that are served meanwhile (rule ROUTE).
+func TestTenantsLimitHoldsAcrossTakeover(t *testing.T) {
 	t.Parallel() // mostly waits
 	is := is.New(t)
-	w := startQuick(t, noLinks)
+	w := startWithShortBounds(t, noLinks)
 	hot := w.clientSettings()
 	hot.Key, hot.Eager = keyed(hotKey), true
 	strangers := w.clientSettings()
 	strangers.Key = keyed(unheldKey)
-	crowding := workload.StartClients(hotFirst, hotClients, hot)
-	strange := workload.StartClients(hotFirst+hotClients, 2, strangers)
+	crowding := workload.StartClients(firstHot, hotClients, hot)
+	strange := workload.StartClients(firstHot+hotClients, 2, strangers)
 	time.Sleep(hotFor)
 	w.awaitMembers()
 	killed := w.leader()
 	w.controllers[killed].kill()
-	w.await("another controller leads", func() bool { leads := w.leads(); return leads >= 0 && leads != killed })
+	w.await("another controller leads", func() bool { leads := w.leadingNow(); return leads >= 0 && leads != killed })
 	w.awaitWrites("after the takeover")
 	time.Sleep(hotFor)
 	crowding.Stop()
@@ -185,8 +189,8 @@
 	t.Logf("the hot tenant: %d statements served, %d refused; strangers refused %d times", served, refused, w.history.AuthFailures(unheldKey))
 }
 
-// QUOTA: a lower limit did not bind in time; and a higher one was not given.
-func TestTenantsLimitIsLoweredAndRaised(t *testing.T) {
+// Guards against a lower limit that does not bind in time (rule QUOTA), and against a higher one that is not granted.
+func TestTenantsLimitChangesBindInTime(t *testing.T) {
 	t.Parallel() // mostly waits
 	is := is.New(t)
 	const window = time.Second
@@ -198,12 +202,12 @@
 	w.limitBinds = binds
 	hot := w.clientSettings()
 	hot.Key, hot.Eager = keyed(hotKey), true
-	crowding := workload.StartClients(hotFirst, hotClients, hot)
+	crowding := workload.StartClients(firstHot, hotClients, hot)
 	time.Sleep(window)
 	lower := tenantsWith()
 	lower[2].RatePerS, lower[2].BurstSize = crowdRate/4, 0
 	lowered := w.change(lower)
-	waitUntil(binds(lowered.Answered).Add(2 * window)) // one window more than the judge needs
+	waitUntil(binds(lowered.Answered).Add(2 * window)) // one window more than the check needs
 	served, _ := w.countOf(hotKey)
 	higher := tenantsWith()
 	higher[2].RatePerS = 4 * crowdRate
--- a/systemtest/tenants_world_test.go
+++ b/systemtest/tenants_world_test.go
@@ -14,29 +14,30 @@
 	"eiderway/testinstance"
 )
 
-// Keys of the world's tenants. They stand nowhere else, so that any line that holds one can be found.
+// Keys, names and limits of the world's tenants, and bounds. The keys occur nowhere else, so that any output that contains one
+// can be found.
 const (
 	lastingKey  = "k-lasting-5f27c0"            // of the usual clients
 	otherKey    = "k-other-91be3d"              // of the usual clients
-	doomedKey   = "k-doomed-c4417a"             // is taken away
+	doomedKey   = "k-doomed-c4417a"             // of the farmers at first; taken away by tests
 	hotKey      = "k-hot-08d9f2"                // of a tenant with a limit
-	unheldKey   = "k-unheld-6ab31e"             // is nobody's
-	lastNumbers = 1 << 20                       // of clients that tests make by hand
+	unheldKey   = "k-unheld-6ab31e"             // of no tenant
+	firstDriven = 1 << 20                       // first number of clients whose sessions tests drive
 	farmers     = "farmers"                     // a tenant without a limit
 	traders     = "traders"                     // another
 	crowd       = "crowd"                       // one with a limit
 	crowdRate   = 20                            // operations a second
 	crowdBurst  = 10                            // operations
-	revoke      = 2 * time.Second               // bound of the tenants' worlds
+	revoke      = 2 * time.Second               // bound in worlds with short bounds
 	quotaWindow = 2 * time.Second               // likewise
 	quotaSlack  = 5                             // likewise
 	configApply = 1500 * time.Millisecond       // likewise
-	runsAfter   = revoke + 300*time.Millisecond // past the bound, and before a transaction that rests is ended
+	runsAfter   = revoke + 300*time.Millisecond // past the bound, and before an idle transaction is ended
 )
 
 func allKeys() []string { return []string{lastingKey, otherKey, doomedKey, hotKey, unheldKey} }
 
-// usualKey gives the usual clients keys of two tenants.
+// usualKey returns the key of a usual client; the clients share the keys of two tenants.
 func usualKey(client int) string {
 	if client%2 == 0 {
 		return lastingKey
@@ -46,7 +47,7 @@
 
 func keyed(key string) func(int) string { return func(int) string { return key } }
 
-// tenants are those that the next configuration names.
+// tenants holds the tenants of the next configuration.
 type tenants struct {
 	mutex sync.Mutex
 	list  []workload.Tenant
@@ -66,7 +67,7 @@
 	l.list = list
 }
 
-// tenantsWith gives the world's tenants, of whom the farmers hold further keys.
+// tenantsWith returns the world's tenants; the farmers hold the given keys in addition.
 func tenantsWith(keys ...string) []workload.Tenant {
 	return []workload.Tenant{
 		{Name: farmers, Keys: append([]string{lastingKey}, keys...)},
@@ -96,8 +97,8 @@
 	return w
 }
 
-// startQuick starts a world with tenants and short bounds.
-func startQuick(t *testing.T, over func(*world) *links) *world {
+// startWithShortBounds starts a world with tenants and short bounds.
+func startWithShortBounds(t *testing.T, over func(*world) *links) *world {
 	t.Helper()
 	return startTenants(t, noSettings, over, shortBounds)
 }
@@ -106,7 +107,8 @@
 
 func noLinks(*world) *links { return nil }
 
-// change has a configuration with these tenants acknowledged, and no other one in force that was sent later.
+// change sends configurations with these tenants until one is acknowledged, and returns that order. Configurations that
+// operators send later have these tenants too.
 func (w *world) change(list []workload.Tenant) workload.Order {
 	w.Helper()
 	w.tenants.set(list)
@@ -117,8 +119,8 @@
 	}
 }
 
-// bound is the system's bounds as the processes of this world have them.
-func (w *world) bound() system.Bounds {
+// effectiveBounds returns the system's bounds as the processes of this world have them.
+func (w *world) effectiveBounds() system.Bounds {
 	bounds := w.layout.Gateway(0).Bounds
 	if w.bounds != nil {
 		w.bounds(&bounds)
@@ -126,12 +128,12 @@
 	return bounds
 }
 
-// judgeTenants judges what ran as whom, and looks for keys in what processes wrote.
+// judgeTenants checks the rules on tenants, and searches the logs of all processes for keys.
 func (w *world) judgeTenants() []string {
 	if !w.tenants.are() {
 		return nil
 	}
-	bounds := w.bound()
+	bounds := w.effectiveBounds()
 	broken := workload.JudgeTenants(workload.TenantEvidence{
 		Statements: w.history.Statements(),
 		Orders:     w.orders.Sent(),
@@ -147,7 +149,7 @@
 	return append(broken, w.keysInLogs()...)
 }
 
-// keysInLogs are the lines of all processes that hold a key.
+// keysInLogs returns the log lines of all processes that contain a key.
 func (w *world) keysInLogs() []string {
 	var found []string
 	for _, key := range allKeys() {
@@ -158,8 +160,8 @@
 	return found
 }
 
-// ranOf are the statements of a client that instances ran, as they were sent.
-func (w *world) ranOf(client int) []string {
+// executedTexts returns the texts of the statements of a client that instances ran.
+func (w *world) executedTexts(client int) []string {
 	var texts []string
 	for _, ran := range w.service.Journal().Executions {
 		if strings.HasPrefix(ran.ID, fmt.Sprintf("s%d.", client)) {
--- a/systemtest/views_test.go
+++ b/systemtest/views_test.go
@@ -11,7 +11,7 @@
 	"eiderway/systemtest/workload"
 )
 
-// view is what a controller's log says of the members of the core.
+// view is a committed view of the controllers' replication, as a controller's log describes it.
 type view struct{ epoch, revision, voters, copies int }
 
 func (v view) before(other view) bool {
@@ -21,10 +21,10 @@
 	return v.revision < other.revision
 }
 
-// viewMark stands in a controller's log before a view that was committed.
+// viewMark precedes a committed view in a controller's log.
 const viewMark = "view committed: "
 
-// newestView is the newest view in the logs of all controllers.
+// newestView returns the newest view in the logs of all controllers.
 func (w *world) newestView() view {
 	var newest view
 	for _, one := range w.controllers {
@@ -52,7 +52,7 @@
 }
 
 // awaitMembers waits until all controllers are voters and hold the control state, so that any one may be lost. Orders must
-// have been acknowledged since the last loss: then the newest view has taken notice of it.
+// have been acknowledged since the last loss, so that the newest view reflects it.
 func (w *world) awaitMembers() {
 	w.Helper()
 	w.await("all controllers are members", func() bool {
@@ -61,13 +61,13 @@
 	})
 }
 
-// brokenInvariants gives the lines in which a process says that an invariant of its own doesn't hold.
+// brokenInvariants returns the log lines in which a process reports a broken invariant.
 func (w *world) brokenInvariants() []string { return w.linesWith(invariant.Broken) }
 
-// logged counts the lines of all processes that hold a text.
+// logged counts the log lines of all processes that contain a text.
 func (w *world) logged(text string) int { return len(w.linesWith(text)) }
 
-// linesWith gives the lines of all processes that hold a text, with the names of the processes.
+// linesWith returns the log lines of all processes that contain a text, with the names of the processes.
 func (w *world) linesWith(text string) []string {
 	var found []string
 	for _, one := range append(slices.Clone(w.controllers), w.gateways...) {
--- a/systemtest/workload/judge_test.go
+++ b/systemtest/workload/judge_test.go
@@ -11,7 +11,7 @@
 	"eiderway/testinstance"
 )
 
-// Moments of the history that the tests judge.
+// noon is the start of the history that the tests check.
 var noon = time.Unix(1000, 0)
 
 func at(second int) time.Time { return noon.Add(time.Duration(second) * time.Second) }
@@ -24,7 +24,7 @@
 	}
 }
 
-// lawful is a history without a fault: a write in term 1, a promote, a write in term 2 and a read.
+// lawful returns a history that breaks no rule: a write in term 1, a promotion, a write in term 2, a read and a refused write.
 func lawful() Evidence {
 	first, second := entry(1, 1, "s1", "x"), entry(2, 2, "s2", "y")
 	early := testinstance.Log{first}
--- a/systemtest/workload/session_test.go
+++ b/systemtest/workload/session_test.go
@@ -9,7 +9,8 @@
 	"eiderway/wire"
 )
 
-// REFUSED was reported falsely: sessions of one client that followed each other used the same ids, so a refused try was taken for a kept one.
+// Guards against false reports of rule REFUSED: if successive sessions of one client use the same IDs, a refused try is taken
+// for one that was committed.
 func TestSessionsOfOneClientShareNoIDs(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -28,7 +29,7 @@
 	is.True(statements[0].Try != statements[1].Try)
 }
 
-// serveBusy plays a gateway that refuses each statement.
+// serveBusy serves connections as a gateway that refuses each statement with BUSY.
 func serveBusy(listener net.Listener) {
 	for {
 		network, err := listener.Accept()
--- a/systemtest/workload/tenant_judge_test.go
+++ b/systemtest/workload/tenant_judge_test.go
@@ -13,7 +13,8 @@
 	"eiderway/wire"
 )
 
-// tenantHistory is a history without a fault: a key that is taken away at 10 s, one that moves at 20 s, and one that lasts.
+// tenantHistory returns a history that breaks no rule: one key is taken away at 10 s, one moves to another tenant at 20 s, and
+// one stays.
 func tenantHistory() TenantEvidence {
 	bakers := func(keys ...string) Tenant { return Tenant{Name: "bakers", Keys: keys, RatePerS: 2, BurstSize: 2} }
 	smiths := func(keys ...string) Tenant { return Tenant{Name: "smiths", Keys: keys} }
--- a/systemtest/world_test.go
+++ b/systemtest/world_test.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// patience bounds the waits for what must come about: a busy machine may take long, and only a fault uses it up.
+	// patience bounds the waits for conditions. It is long because a busy machine may be slow; only a fault uses it up.
 	patience       = 30 * time.Second
 	poll           = 20 * time.Millisecond
 	service        = "orders"
@@ -34,7 +34,7 @@
 	operatorsCount = 2
 )
 
-// world is a system of processes under load, with the instances and the platform around it.
+// world is a system of processes under load, with its database instances and its platform.
 type world struct {
 	*testing.T
 	layout      workload.Layout
@@ -46,11 +46,11 @@
 	gateways    []*process
 	history     *workload.History
 	orders      *workload.Orders
-	excused     func(testinstance.Execution) bool // nil: nothing is
+	mayRunLate  func(testinstance.Execution) bool // nil: no execution may run late
 	clients     *workload.Clients
 	number      atomic.Int64 // of the newest configuration
-	links       *links       // nil: processes speak directly
-	tenants     tenants      // none: clients need no keys
+	links       *links       // nil: processes connect directly
+	tenants     tenants      // empty: clients need no keys
 	bounds      func(*system.Bounds)
 	flags       []string                               // of all processes
 	limitBinds  func(acknowledged time.Time) time.Time // nil: a lower limit is not judged
@@ -58,19 +58,19 @@
 	operators   sync.WaitGroup
 }
 
-// startWorld founds a system, has it take a configuration, and starts clients and operators.
+// startWorld starts a new system, gives it a configuration, and starts clients and operators.
 func startWorld(t *testing.T) *world {
 	t.Helper()
 	return startWorldWith(t, func(*testinstance.Settings) {})
 }
 
-// startWorldWith starts a world whose instances are set otherwise.
+// startWorldWith starts a world after set has changed the settings of its instances.
 func startWorldWith(t *testing.T, set func(*testinstance.Settings)) *world {
 	t.Helper()
 	return startWorldOver(t, set, func(*world) *links { return nil })
 }
 
-// startWorldOver starts a world whose processes speak over relays.
+// startWorldOver starts a world whose processes connect through the relays that over starts.
 func startWorldOver(t *testing.T, set func(*testinstance.Settings), over func(*world) *links) *world {
 	t.Helper()
 	layout, err := workload.NewLayout()
@@ -82,7 +82,7 @@
 	return w
 }
 
-// begin starts all of a world.
+// begin starts the instances, the platform, the processes and the load.
 func (w *world) begin(set func(*testinstance.Settings), over func(*world) *links) {
 	w.Helper()
 	w.startSurroundings(set)
@@ -165,13 +165,13 @@
 	return settings
 }
 
-// gatewayOf names the gateway that a client's statement was sent through.
+// gatewayOf returns the name of the gateway that a client's statement was sent through.
 func (w *world) gatewayOf(statementID string) (name string, known bool) {
 	address, known := w.history.GatewayOf(statementID)
 	return gatewayName(slices.Index(w.fronts(), address)), known
 }
 
-// keepOrdering places one configuration after the other. Another operator takes the same numbers at times.
+// keepOrdering places one configuration after another. Two operators may use the same number at times.
 func (w *world) keepOrdering(ctx context.Context, name int) {
 	operator := w.operator()
 	for count := 0; ctx.Err() == nil; count++ {
@@ -180,7 +180,7 @@
 		operator.Place(limited, number, workload.Content(name, number))
 		w.raiseNumber(number)
 		if count%fetchEvery == 0 {
-			_, _ = operator.Fetch(limited) // the history has what was read
+			_, _ = operator.Fetch(limited) // the history records the read
 		}
 		cancel()
 		wait(ctx, orderEvery)
@@ -192,7 +192,8 @@
 	}
 }
 
-// placeNext places a configuration of a new number, and wants it acknowledged.
+// placeNext places a configuration of a new number. It fails the test unless the answer is 200, or 409 for a number that an
+// operator has taken.
 func (w *world) placeNext(name int) workload.Order {
 	w.Helper()
 	ctx, cancel := context.WithTimeout(w.Context(), patience)
@@ -214,19 +215,19 @@
 	if err := os.MkdirAll(w.dataOf(number), 0o700); err != nil {
 		w.Fatal(err)
 	}
-	w.controllers[number].start(w.settled(w.layout.Controller(number, firstStart, w.dataOf(number))))
+	w.controllers[number].start(w.completeSettings(w.layout.Controller(number, firstStart, w.dataOf(number))))
 }
 
 func (w *world) startGateway(number int) {
-	w.gateways[number].start(w.settled(w.layout.Gateway(number)))
+	w.gateways[number].start(w.completeSettings(w.layout.Gateway(number)))
 }
 
-// settled gives the settings of a process with the world's bounds, and with its ways through the relays.
-func (w *world) settled(settings system.Settings) system.Settings {
+// completeSettings returns the settings of a process with the world's bounds and the routes through the relays.
+func (w *world) completeSettings(settings system.Settings) system.Settings {
 	if w.bounds != nil {
 		w.bounds(&settings.Bounds)
 	}
-	return w.links.through(w, settings)
+	return w.links.withRoutes(w, settings)
 }
 
 func (w *world) controls() []string { return w.layout.Controls(workload.ControllerCount) }
@@ -248,19 +249,19 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// leader waits for a controller that leads.
+// leader waits until a controller leads, and returns its number.
 func (w *world) leader() int {
 	w.Helper()
 	leader := -1
 	w.await("a controller leads", func() bool {
-		leader = w.leads()
+		leader = w.leadingNow()
 		return leader >= 0
 	})
 	return leader
 }
 
-// leads is the controller that leads now, or -1.
-func (w *world) leads() int {
+// leadingNow returns the number of the controller that leads now, or -1.
+func (w *world) leadingNow() int {
 	for number := range w.controllers {
 		if workload.IsLeading(w.Context(), w.layout.Control(number)) {
 			return number
@@ -269,42 +270,42 @@
 	return -1
 }
 
-// await waits until something has come about.
+// await waits until the condition holds; what describes it.
 func (w *world) await(what string, holds func() bool) {
 	w.Helper()
 	for start := time.Now(); !holds(); time.Sleep(poll) {
 		if time.Since(start) > patience {
-			w.Fatalf("it never came that %s", what)
+			w.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// awaitWrites waits until writes are acknowledged that were begun from now on, by most clients.
+// awaitWrites waits for two more acknowledged writes per client on average, so that most of them were begun after the call.
 func (w *world) awaitWrites(when string) {
 	w.Helper()
 	before := w.history.Acknowledged()
 	w.await("writes are acknowledged "+when, func() bool { return w.history.Acknowledged() >= before+2*clientCount })
 }
 
-// awaitOrders waits until a new configuration is acknowledged.
+// awaitOrders waits until a configuration is acknowledged whose number exceeds the newest acknowledged one by two or more.
 func (w *world) awaitOrders(when string) {
 	w.Helper()
 	before := w.orders.NewestAcknowledged()
 	w.await("configurations are acknowledged "+when, func() bool { return w.orders.NewestAcknowledged() > before+1 })
 }
 
-// awaitPromote waits until another instance leads the service than this one.
-func (w *world) awaitPromote(old *testinstance.Instance) {
+// awaitNewPrimary waits until an instance other than the old primary leads the service.
+func (w *world) awaitNewPrimary(old *testinstance.Instance) {
 	w.Helper()
 	w.await("another instance leads", func() bool { return w.service.Leader() != old })
 }
 
-// conclude ends the load and judges the histories.
+// conclude ends the load and checks the histories.
 func (w *world) conclude() {
 	w.Helper()
 	for _, one := range append(w.controllers, w.gateways...) {
 		if one.hasEnded() {
-			w.Errorf("%s has ended by itself", one.name)
+			w.Errorf("%s ended unexpectedly", one.name)
 		}
 	}
 	w.stopLoad()
@@ -320,7 +321,7 @@
 		Journal:    w.service.Journal(),
 		Final:      w.service.Leader().Log(),
 		DrainTime:  drainTime,
-		MayRunLate: w.excused,
+		MayRunLate: w.mayRunLate,
 	})...)
 	broken = append(broken, judgeFences(w.platform.Calls())...)
 	broken = append(broken, w.brokenInvariants()...)
@@ -336,7 +337,7 @@
 		len(w.orders.Completed()), len(w.orders.Fetched()), len(w.service.Journal().Promotions), len(w.platform.Calls()))
 }
 
-// wait waits, unless the context ends.
+// wait waits until the duration has passed or the context ends.
 func wait(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
