--- a/systemtest/workload/judge_test.go
+++ b/systemtest/workload/judge_test.go
@@ -11,7 +11,7 @@
 	"eiderway/testinstance"
 )
 
-// Moments of the history that the tests judge.
+// noon is the start of the history that the tests check.
 var noon = time.Unix(1000, 0)
 
 func at(second int) time.Time { return noon.Add(time.Duration(second) * time.Second) }
@@ -24,7 +24,7 @@
 	}
 }
 
-// lawful is a history without a fault: a write in term 1, a promote, a write in term 2 and a read.
+// lawful returns a history that breaks no rule: a write in term 1, a promotion, a write in term 2, a read and a refused write.
 func lawful() Evidence {
 	first, second := entry(1, 1, "s1", "x"), entry(2, 2, "s2", "y")
 	early := testinstance.Log{first}
@@ -34,7 +34,7 @@
 			{ID: "s1", Text: "PUT t x", Began: at(1), Answered: at(2), Outcome: Done, Stamp: "a", Writes: first.Writes},
 			{ID: "s2", Text: "EXECUTE w t y", Began: at(4), Answered: at(5), Outcome: Done, Stamp: "b", Writes: second.Writes},
 			{ID: "s3", Text: "FETCH t", Began: at(6), Answered: at(7), Outcome: Done, Stamp: "c", Rows: []string{"y"}},
-			{ID: "s4", Text: "PUT t z", Began: at(6), Answered: at(7), Outcome: NotKept, Code: "BUSY", Writes: entry(0, 0, "", "z").Writes},
+			{ID: "s4", Text: "PUT t z", Began: at(6), Answered: at(7), Outcome: NoEffect, Code: "BUSY", Writes: entry(0, 0, "", "z").Writes},
 		},
 		Journal: testinstance.Journal{
 			Promotions: []testinstance.Promotion{{Instance: "one", Term: 1, At: at(0)}, {Instance: "two", Term: 2, At: at(3), Log: early}},
